--- a/pkg/limit/borrow.go
+++ b/pkg/limit/borrow.go
@@ -9,10 +9,10 @@
 	"crocusramp.dev/crocusramp/pkg/member"
 )
 
-// collect makes the periodic request of a home to a peer: it extends its loans
-// and asks for more. A VM that is home no longer returns what it still has. It
-// is nil where there is nothing to say.
-func (b *book) collect(peer string, now clock.Time) *peerpb.AccountRequest {
+// collectRequest builds the periodic request of a home to a peer: it extends its loans and requests
+// more. A VM that is no longer the home returns what it still holds. It returns nil if there is
+// nothing to request or return.
+func (b *budget) collectRequest(peer string, now clock.Time) *peerpb.AccountRequest {
 	b.advance(now)
 	r := &peerpb.AccountRequest{Account: b.name, Collect: b.home}
 	if b.home {
@@ -21,11 +21,11 @@
 	for i := len(b.borrowed) - 1; i >= 0; i-- {
 		x := b.borrowed[i]
 		switch {
-		case x.peer != peer || x.kind != collected:
+		case x.peer != peer || x.kind != collectLoan:
 		case b.home && !x.recalled:
 			r.Extend = append(r.Extend, x.id)
 		default:
-			if tokens, ok := b.giveBack(x.id, peer, now); ok {
+			if tokens, ok := b.returnLoan(x.id, peer, now); ok {
 				r.Returns = append(r.Returns, &peerpb.LoanReturn{Id: x.id, Tokens: tokens})
 			}
 		}
@@ -36,14 +36,14 @@
 	return r
 }
 
-// collectedFrom takes in the answer to collect. A loan that the lender did not
-// extend goes back with the next request; again reports that there is one.
-func (b *book) collectedFrom(q *peerpb.AccountRequest, r *peerpb.AccountResponse, peer string, sent, now clock.Time) (again bool) {
-	b.accept(collected, r, peer, sent, now)
-	if b.reports == nil {
-		b.reports = map[string]float64{}
+// handleCollectResponse applies the response to collectRequest. A loan that the lender did not
+// extend is returned with the next request; again reports that there is one.
+func (b *budget) handleCollectResponse(q *peerpb.AccountRequest, r *peerpb.AccountResponse, peer string, sent, now clock.Time) (again bool) {
+	b.applyResponse(collectLoan, r, peer, sent, now)
+	if b.peerDemand == nil {
+		b.peerDemand = map[string]float64{}
 	}
-	b.reports[peer] = finite(r.Demand)
+	b.peerDemand[peer] = validAmount(r.Demand)
 	for i := range b.borrowed {
 		x := &b.borrowed[i]
 		if x.peer == peer && slices.Contains(q.Extend, x.id) && !slices.Contains(r.Extended, x.id) {
@@ -53,31 +53,30 @@
 	return again
 }
 
-// fleetLoad is the demand that the peers reported at the last collection, and
-// this VM's own, as a part of the rate.
-func (b *book) fleetLoad() float64 {
+// fleetLoad returns the demand that the peers reported at the last collection plus this VM's own,
+// as a fraction of the rate.
+func (b *budget) fleetLoad() float64 {
 	demand := b.demand.smoothed
-	for _, d := range b.reports {
+	for _, d := range b.peerDemand {
 		demand += d
 	}
 	return demand / max(b.limit.rate, 1)
 }
 
-// forgetReports drops the reports of VMs that are not live.
-func (b *book) forgetReports(view *member.View) {
-	maps.DeleteFunc(b.reports, func(incarnation string, _ float64) bool {
+// dropStaleDemand removes the demand of VMs that are not live.
+func (b *budget) dropStaleDemand(view *member.View) {
+	maps.DeleteFunc(b.peerDemand, func(incarnation string, _ float64) bool {
 		return !slices.ContainsFunc(view.Peers, func(p member.Peer) bool {
 			return p.Incarnation == incarnation && p.State == member.Live
 		})
 	})
 }
 
-// relend makes the periodic request of a VM to the home: for a share that
-// covers the demand beyond that of its slots. It is nil where there is nothing
-// to say.
-func (b *book) relend(home string, now clock.Time) *peerpb.AccountRequest {
+// shareRequest builds the periodic request of a VM to the home for a share that covers the demand
+// beyond that of its own slots. It returns nil if there is nothing to request or return.
+func (b *budget) shareRequest(home string, now clock.Time) *peerpb.AccountRequest {
 	b.advance(now)
-	b.plan(now)
+	b.updateWant(now)
 	if b.home {
 		return nil
 	}
@@ -87,11 +86,11 @@
 	var have share
 	for i := len(b.borrowed) - 1; i >= 0; i-- {
 		x := b.borrowed[i]
-		if x.peer != home || x.kind != relent {
+		if x.peer != home || x.kind != demandLoan {
 			continue
 		}
 		if x.share.rate+have.rate > extra.rate*(1+hysteresis) {
-			if tokens, ok := b.giveBack(x.id, home, now); ok {
+			if tokens, ok := b.returnLoan(x.id, home, now); ok {
 				r.Returns = append(r.Returns, &peerpb.LoanReturn{Id: x.id, Tokens: tokens})
 			}
 			continue
@@ -108,10 +107,10 @@
 	return r
 }
 
-// plan sets the share that the VM wants for itself: enough rate for its demand
-// and a part of the burst, unless that part is too small to be of use; then
-// the tokens are better together at the home.
-func (b *book) plan(now clock.Time) {
+// updateWant sets the share that the VM wants for itself: enough rate for its demand and a part of
+// the burst. It wants none if that part is too small to be useful, as the tokens are then more
+// useful in the home's bucket.
+func (b *budget) updateWant(now clock.Time) {
 	b.demand.roll(now)
 	var want share
 	if b.limit.rate > 0 && !b.home {
--- a/pkg/limit/exchange.go
+++ b/pkg/limit/exchange.go
@@ -13,17 +13,17 @@
 	"crocusramp.dev/crocusramp/pkg/member"
 )
 
-// path is where peers find this service.
+// path returns the URL path prefix of this service on peers.
 func (s *Service) path() string { return path.Join("/twirp", s.cfg.Name) }
 
-// client reaches this service's like on a peer.
+// client returns a client for the limit service of a peer.
 func (s *Service) client(address string) peerpb.Limit {
 	return peerpb.NewLimitProtobufClient(s.cfg.Peers.URL(address), s.cfg.Peers.HTTP(), twirp.WithClientPathPrefix(s.path()))
 }
 
-// exchange calls a peer. It returns the answers by account, or nil.
+// exchange calls a peer and returns its responses by account, or nil if the call failed.
 func (s *Service) exchange(ctx context.Context, p member.Peer, accounts []*peerpb.AccountRequest) map[string]*peerpb.AccountResponse {
-	defer s.asking(p.Incarnation)()
+	defer s.trackExchange(p.Incarnation)()
 	response, err := s.client(p.PeerAddress).Exchange(ctx, &peerpb.ExchangeRequest{
 		Borrower:  s.cfg.Members.View().Self.Incarnation,
 		RequestId: s.ids.Add(1),
@@ -31,7 +31,7 @@
 	})
 	if err != nil {
 		s.failures.Inc(1)
-		s.cfg.Log.Debug().Err(err).Str("vm", p.ID).Msg("loans could not be exchanged")
+		s.cfg.Log.Debug().Err(err).Str("vm", p.ID).Msg("loan exchange with a peer failed")
 		return nil
 	}
 	byAccount := make(map[string]*peerpb.AccountResponse, len(response.Accounts))
@@ -41,13 +41,13 @@
 	return byAccount
 }
 
-// collectAll makes one exchange with each live peer, for all accounts.
+// collectAll makes one exchange with each live or leaving peer, for all accounts.
 func (s *Service) collectAll(ctx context.Context) {
 	view := s.cfg.Members.View()
 	s.refresh(view)
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
-	collecting := s.collecting()
+	collecting := s.accountsToCollect()
 	if len(collecting) == 0 {
 		return
 	}
@@ -60,12 +60,12 @@
 	calls.Wait()
 }
 
-// collecting returns the accounts that this VM is the home of, or has borrowed shares of.
-func (s *Service) collecting() []*account {
+// accountsToCollect returns the accounts that this VM is the home of or has borrowed shares of.
+func (s *Service) accountsToCollect() []*account {
 	var out []*account
 	for _, a := range *s.accounts.Load() {
 		a.mu.Lock()
-		if a.book.home || len(a.book.borrowed) > 0 {
+		if a.budget.home || len(a.budget.borrowed) > 0 {
 			out = append(out, a)
 		}
 		a.mu.Unlock()
@@ -79,32 +79,32 @@
 	}
 }
 
-// collectOnce makes one exchange; again reports that loans are to be returned.
+// collectOnce makes one exchange; again reports that there are loans to return.
 func (s *Service) collectOnce(ctx context.Context, p member.Peer, accounts []*account) (again bool) {
 	now := s.cfg.Clock.Now()
-	requests := gather(accounts, func(a *account) *peerpb.AccountRequest {
-		return a.book.collect(p.Incarnation, now)
+	requests := buildRequests(accounts, func(a *account) *peerpb.AccountRequest {
+		return a.budget.collectRequest(p.Incarnation, now)
 	})
 	if len(requests) == 0 {
 		return false
 	}
 	s.collections.Inc(1)
 	answers := s.exchange(ctx, p, requests)
-	s.settle(requests, answers, func(a *account, q *peerpb.AccountRequest, r *peerpb.AccountResponse) {
-		if a.book.collectedFrom(q, r, p.Incarnation, now, s.cfg.Clock.Now()) {
+	s.applyResponses(requests, answers, func(a *account, q *peerpb.AccountRequest, r *peerpb.AccountResponse) {
+		if a.budget.handleCollectResponse(q, r, p.Incarnation, now, s.cfg.Clock.Now()) {
 			again = true
 		}
 	})
 	return again
 }
 
-// relendAll makes one exchange with each home of an account that this VM has
-// more demand for than its own share covers.
-func (s *Service) relendAll(ctx context.Context) {
+// borrowFromHomes makes one exchange with the home of each account for which this VM has more
+// demand than its own share covers.
+func (s *Service) borrowFromHomes(ctx context.Context) {
 	if s.stopping.Load() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, relendPeriod)
+	ctx, cancel := context.WithTimeout(ctx, demandLoanPeriod)
 	defer cancel()
 	homes := map[string]member.Peer{}
 	accounts := map[string][]*account{}
@@ -116,29 +116,29 @@
 	}
 	var calls sync.WaitGroup
 	for id, home := range homes {
-		calls.Go(func() { s.relendFrom(ctx, home, accounts[id]) })
+		calls.Go(func() { s.borrowFromHome(ctx, home, accounts[id]) })
 	}
 	calls.Wait()
 }
 
-// relendFrom makes one exchange with the home of some accounts.
-func (s *Service) relendFrom(ctx context.Context, home member.Peer, accounts []*account) {
+// borrowFromHome makes one exchange with one home, for the given accounts.
+func (s *Service) borrowFromHome(ctx context.Context, home member.Peer, accounts []*account) {
 	now := s.cfg.Clock.Now()
-	requests := gather(accounts, func(a *account) *peerpb.AccountRequest {
-		a.book.home = home.ID == s.cfg.Members.View().Self.ID
-		return a.book.relend(home.Incarnation, now)
+	requests := buildRequests(accounts, func(a *account) *peerpb.AccountRequest {
+		a.budget.home = home.ID == s.cfg.Members.View().Self.ID
+		return a.budget.shareRequest(home.Incarnation, now)
 	})
 	if len(requests) == 0 {
 		return
 	}
 	answers := s.exchange(ctx, home, requests)
-	s.settle(requests, answers, func(a *account, _ *peerpb.AccountRequest, r *peerpb.AccountResponse) {
-		a.book.accept(relent, r, home.Incarnation, now, s.cfg.Clock.Now())
+	s.applyResponses(requests, answers, func(a *account, _ *peerpb.AccountRequest, r *peerpb.AccountResponse) {
+		a.budget.applyResponse(demandLoan, r, home.Incarnation, now, s.cfg.Clock.Now())
 	})
 }
 
-// gather makes a request for each of the accounts that has something to say.
-func gather(accounts []*account, request func(*account) *peerpb.AccountRequest) []*peerpb.AccountRequest {
+// buildRequests collects the requests of the accounts that have one.
+func buildRequests(accounts []*account, request func(*account) *peerpb.AccountRequest) []*peerpb.AccountRequest {
 	var requests []*peerpb.AccountRequest
 	for _, a := range accounts {
 		a.mu.Lock()
@@ -150,8 +150,8 @@
 	return requests
 }
 
-// settle hands each answer to its account.
-func (s *Service) settle(requests []*peerpb.AccountRequest, answers map[string]*peerpb.AccountResponse,
+// applyResponses applies each response to its account.
+func (s *Service) applyResponses(requests []*peerpb.AccountRequest, answers map[string]*peerpb.AccountResponse,
 	accept func(*account, *peerpb.AccountRequest, *peerpb.AccountResponse)) {
 	accounts := *s.accounts.Load()
 	for _, q := range requests {
@@ -164,29 +164,28 @@
 	}
 }
 
-// Handler returns the path prefix and the handler of the service that peers
-// call.
+// Handler returns the path prefix and the handler of the service that peers call.
 func (s *Service) Handler() (string, http.Handler) {
 	h := peerpb.NewLimitServer(server{s}, twirp.WithServerPathPrefix(s.path()))
 	return h.PathPrefix(), h
 }
 
-// server answers peers; it keeps the RPC method out of Service's interface.
+// server implements the RPC service; it keeps the RPC methods out of Service's interface.
 type server struct{ s *Service }
 
-// Exchange lends to a peer.
+// Exchange handles a peer's requests for loans, extensions and returns.
 func (v server) Exchange(_ context.Context, r *peerpb.ExchangeRequest) (*peerpb.ExchangeResponse, error) {
 	if r.Borrower == "" {
 		return nil, twirp.RequiredArgumentError("borrower")
 	}
-	if !v.s.seen.add(r.Borrower, r.RequestId) {
+	if !v.s.dedup.add(r.Borrower, r.RequestId) {
 		return nil, twirp.NewError(twirp.AlreadyExists, "the request was answered before")
 	}
 	out := &peerpb.ExchangeResponse{}
 	stopping := v.s.stopping.Load()
 	for _, q := range r.Accounts {
 		if stopping {
-			// Loans may end early, but none begins or is extended.
+			// While stopping, loans may end early, but none is made or extended.
 			q = &peerpb.AccountRequest{Account: q.Account, Returns: q.Returns}
 		}
 		if a, c := v.s.account(q.Account); a != nil {
@@ -201,5 +200,5 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s.sync(a, c, now)
-	return a.book.serve(q, borrower, now)
+	return a.budget.serve(q, borrower, now)
 }
--- a/pkg/limit/faults_test.go
+++ b/pkg/limit/faults_test.go
@@ -10,10 +10,10 @@
 	"crocusramp.dev/crocusramp/pkg/config"
 )
 
-// admission is one admitted request. It was admitted between two instants.
+// admission is one admitted request. It was admitted at some time between after and before.
 type admission struct{ after, before time.Time }
 
-// load asks every service for as much as it admits.
+// load sends every service as many requests as it admits.
 type load struct {
 	mu       sync.Mutex
 	admitted [][]admission // by VM
@@ -40,7 +40,7 @@
 	return l
 }
 
-// since counts what was admitted after t: by all VMs, and by VM.
+// since returns the number of admissions after t, in total and by VM.
 func (l *load) since(t time.Time) (total int, byVM []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +56,7 @@
 	return total, byVM
 }
 
-// waitFor waits until n more requests have been admitted, by every VM of vms.
+// waitFor waits until each VM of vms has admitted n more requests.
 func (l *load) waitFor(t *testing.T, what string, n int, vms ...int) {
 	t.Helper()
 	start := time.Now()
@@ -72,8 +72,8 @@
 	}
 }
 
-// check fails where a window holds more than burst + rate*t. A window runs
-// from before its first admission to after its last.
+// check fails if any window holds more than burst + rate*t admissions. A window runs from before
+// its first admission to after its last.
 func (l *load) check(t *testing.T, from time.Time, limit config.Account) {
 	t.Helper()
 	l.mu.Lock()
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	// Every window of whole admissions, in order of their ends.
+	// Check every window of whole admissions, in order of their ends.
 	slices.SortFunc(all, func(x, y admission) int { return x.before.Compare(y.before) })
 	for i := range all {
 		n := 0
@@ -103,9 +103,8 @@
 	}
 }
 
-// TestFleetUnderFaults runs three VMs under more load than the limit while the
-// home freezes, answers are lost and the limit changes on each VM in its own
-// time.
+// TestFleetUnderFaults checks that three VMs keep to the limit under overload while the home
+// freezes, responses are lost, and the limit changes at a different time on each VM.
 func TestFleetUnderFaults(t *testing.T) {
 	high := config.Account{Name: "a", Rate: 200, Burst: 30}
 	low := config.Account{Name: "a", Rate: 60, Burst: 12}
@@ -120,7 +119,7 @@
 
 	l.waitFor(t, "start", 20, 0, 1, 2)
 	faults[home].frozen.Store(true)
-	// The shares that the frozen home holds come back when their loans end.
+	// The shares that the frozen home borrowed return to their lenders when the loans end.
 	l.waitFor(t, "home frozen", 20, others...)
 	faults[home].frozen.Store(false)
 	l.waitFor(t, "home back", 20, 0, 1, 2)
@@ -133,7 +132,7 @@
 		l.waitFor(t, "lowered", 10, home)
 	}
 	// Every VM applies its version within collectPeriod.
-	lowered := time.Now().Add(collectPeriod + settleTime)
+	lowered := time.Now().Add(collectPeriod + loanDrainTime)
 	time.Sleep(time.Until(lowered))
 	l.waitFor(t, "lowered everywhere", 30, home)
 	raised := time.Now()
@@ -149,7 +148,7 @@
 	t.Logf("%d admitted in %v, by VM: %v", total, time.Since(start), byVM)
 }
 
-// checkUntil checks the admissions between two instants.
+// checkUntil checks the admissions between from and to.
 func (l *load) checkUntil(t *testing.T, from, to time.Time, limit config.Account) {
 	t.Helper()
 	part := &load{}
@@ -161,7 +160,7 @@
 	part.check(t, from, limit)
 }
 
-// TestReleaseReturnsLoans: a home that stops returns what it collected.
+// TestReleaseReturnsLoans checks that a home that stops returns the shares that it collected.
 func TestReleaseReturnsLoans(t *testing.T) {
 	services, all, _ := startFleet(t, 2, accounts(config.Account{Name: "a", Rate: 100, Burst: 20}))
 	home := slices.IndexFunc(all, func(s *sources) bool { return s.View().Self.ID == services[0].Homes("a")[0] })
--- a/pkg/limit/home.go
+++ b/pkg/limit/home.go
@@ -9,8 +9,8 @@
 	"crocusramp.dev/crocusramp/pkg/member"
 )
 
-// score is the rendezvous hash of an account and a VM.
-func score(account, vm string) uint64 {
+// hashScore returns the rendezvous hash of an account and a VM.
+func hashScore(account, vm string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(account)
@@ -19,23 +19,23 @@
 	return d.Sum64()
 }
 
-// home returns the VM where the account's idle shares come together: one of the region that
-// is preferred, where one is live. VMs whose views differ may disagree; that costs refusals,
-// never safety. It is false where no VM is live.
+// home returns the home of the account: the VM that collects its idle shares. Live VMs of the
+// preferred region come first. VMs with different views may choose different homes; that can refuse
+// requests wrongly, but never admits too many. It returns false if no VM is live.
 func (s *Service) home(account string) (member.Peer, bool) {
 	view := s.cfg.Members.View()
-	near := ""
+	preferred := ""
 	if s.cfg.Near != nil {
-		near = s.cfg.Near(account)
+		preferred = s.cfg.Near(account)
 	}
-	best, found := member.Peer{}, false
-	var most uint64
+	home, found := member.Peer{}, false
+	var bestScore uint64
 	consider := func(p *member.Peer) {
-		n := score(account, p.ID)
-		nearer := near != "" && p.Region == near && best.Region != near
-		farther := near != "" && p.Region != near && best.Region == near
-		if !found || nearer || (!farther && (n > most || (n == most && p.ID < best.ID))) {
-			best, most, found = *p, n, true
+		score := hashScore(account, p.ID)
+		nearer := preferred != "" && p.Region == preferred && home.Region != preferred
+		farther := preferred != "" && p.Region != preferred && home.Region == preferred
+		if !found || nearer || (!farther && (score > bestScore || (score == bestScore && p.ID < home.ID))) {
+			home, bestScore, found = *p, score, true
 		}
 	}
 	if view.Self.State == member.Live && !s.stopping.Load() {
@@ -46,11 +46,11 @@
 			consider(&view.Peers[i])
 		}
 	}
-	return best, found
+	return home, found
 }
 
-// Homes returns the IDs of the live VMs, those first where the account's
-// limit is most likely at hand.
+// Homes returns the IDs of the live VMs, sorted by how likely they hold tokens of the account, the
+// likeliest first.
 func (s *Service) Homes(account string) []string {
 	view := s.cfg.Members.View()
 	var ids []string
@@ -63,7 +63,7 @@
 		}
 	}
 	slices.SortFunc(ids, func(a, b string) int {
-		if c := cmp.Compare(score(account, b), score(account, a)); c != 0 {
+		if c := cmp.Compare(hashScore(account, b), hashScore(account, a)); c != 0 {
 			return c
 		}
 		return cmp.Compare(a, b)
--- a/pkg/limit/ledger.go
+++ b/pkg/limit/ledger.go
@@ -9,23 +9,22 @@
 )
 
 const (
-	// collectDuration is how long a loan of an idle share runs; the home
-	// extends it each collectPeriod.
+	// collectDuration is the duration of a loan of an idle share to the home. The home extends the
+	// loan every collectPeriod.
 	collectDuration = 3 * time.Second
 	collectPeriod   = time.Second
-	// relendDuration is how long a loan runs that the home makes of collected
-	// shares; the borrower extends it each relendPeriod. It must end before
-	// the loans that it is made of.
-	relendDuration = 1500 * time.Millisecond
-	relendPeriod   = 500 * time.Millisecond
-	// tokenDuration is the longest that a loan of single tokens runs.
+	// demandLoanDuration is the duration of a loan that the home makes of collected shares. The
+	// borrower extends it every demandLoanPeriod. It must end before the loans that back it.
+	demandLoanDuration = 1500 * time.Millisecond
+	demandLoanPeriod   = 500 * time.Millisecond
+	// tokenDuration is the longest duration of a loan of single tokens.
 	tokenDuration = 500 * time.Millisecond
-	// driftDivisor covers clocks that differ in speed: each side of a loan
-	// leaves 1/50 of its duration as a margin.
+	// driftDivisor allows for clocks that run at different speeds: each side of a loan keeps 1/50
+	// of its duration as a margin.
 	driftDivisor = 50
-	// settleTime is how long the new holder of a slot waits for the loans of
-	// the former one to end.
-	settleTime = collectDuration + 2*collectDuration/driftDivisor
+	// loanDrainTime is how long the new holder of a slot waits for the loans of the previous holder
+	// to end.
+	loanDrainTime = collectDuration + 2*collectDuration/driftDivisor
 )
 
 // never is later than any instant.
@@ -33,26 +32,26 @@
 
 // share is a part of a limit.
 type share struct {
-	rate     float64 // tokens a second
-	capacity float64 // the part of the burst
+	rate     float64 // tokens per second
+	capacity float64 // its part of the burst
 }
 
 func (s share) plus(o share) share  { return share{s.rate + o.rate, s.capacity + o.capacity} }
 func (s share) minus(o share) share { return share{s.rate - o.rate, s.capacity - o.capacity} }
 
-// positive leaves out what is negative: where more is lent than held, the
-// excess runs out with the loans.
+// positive replaces negative amounts by 0. They arise where more is lent than owned; the excess
+// ends with the loans.
 func (s share) positive() share { return share{max(0, s.rate), max(0, s.capacity)} }
 
-// rounding is how far sums of shares may be off.
+// rounding is the relative rounding error allowed for sums of shares.
 const rounding = 1e-9
 
-// atMost allows for the rounding of sums.
+// atMost reports whether s is at most o, up to rounding.
 func (s share) atMost(o share) bool {
 	return s.rate <= o.rate*(1+rounding) && s.capacity <= o.capacity*(1+rounding)
 }
 
-// part is a share of a held slot, valid within [from, until).
+// part is the share that belongs to a held slot, valid in [from, until).
 type part struct {
 	share
 	from, until clock.Time
@@ -60,27 +59,27 @@
 	kept bool
 }
 
-// loan is a share that was lent or borrowed, until an end on this VM's clock.
+// loan is a share that was lent or borrowed. It ends at end on this VM's clock.
 type loan struct {
 	id    uint64
 	peer  string // incarnation of the other side
 	share share
 	end   clock.Time
 	kind  loanKind
-	// recalled loans are not extended by their lender.
+	// recalled reports that the lender did not extend the loan.
 	recalled bool
 }
 
-// loanKind says what a loan is for.
+// loanKind is the purpose of a loan.
 type loanKind uint8
 
 const (
-	// collected loans bring the idle shares of VMs to the home.
-	collected loanKind = iota
-	// relent loans are what the home makes of them, for VMs with much demand.
-	relent
-	// tokensOnly loans have no rate and are not extended.
-	tokensOnly
+	// collectLoan lends the idle share of a VM to the home.
+	collectLoan loanKind = iota
+	// demandLoan lends collected shares from the home to a VM with high demand.
+	demandLoan
+	// tokenLoan lends tokens without a rate; it is not extended.
+	tokenLoan
 )
 
 // grant is a loan as the lender offers it.
@@ -92,55 +91,56 @@
 	duration time.Duration
 }
 
-// ledger is a VM's part of one client account's limit: one token bucket whose
-// rate and capacity are the shares of its slots, less what it lent, plus what
-// it borrowed. Shares move, but are in one ledger at a time, and so are
-// tokens. So over all ledgers the capacities never sum to more than the burst,
-// nor the rates to more than the rate, and in any window t the fleet admits at
-// most burst + rate*t.
+// ledger is one VM's part of one client account's limit: a token bucket. Its rate and capacity are
+// the shares of the VM's slots, less what it lent, plus what it borrowed. A share or token that
+// moves is in at most one ledger at a time. So the capacities of all ledgers never sum to more than
+// the burst, nor their rates to more than the limit's rate, and the fleet admits at most burst +
+// rate*t requests in any window of length t.
 //
-// A ledger has no clock; now must never go back.
+// A ledger has no clock. The now passed to its methods must never decrease.
 type ledger struct {
 	parts    []part
 	lent     []loan
 	borrowed []loan
 	tokens   float64
-	// started reports that the ledger has had shares.
+	// started reports that the slots' shares have been set once.
 	started bool
-	// most is the whole limit, zero for none: after it was lowered, larger loans run on.
-	most share
-	// last is when tokens was computed. net holds from last until change.
-	last   clock.Time
-	change clock.Time
-	net    share
+	// maxShare is the account's whole limit, or zero for none. It caps the bucket after the limit
+	// was lowered, while larger loans still run.
+	maxShare share
+	// updated is the time at which tokens was computed. net is constant from updated until
+	// nextChange.
+	updated    clock.Time
+	nextChange clock.Time
+	net        share
 }
 
 // advance brings the bucket to now, in steps at which its share changes.
 func (l *ledger) advance(now clock.Time) {
-	for !now.Before(l.change) {
-		l.fill(l.change)
+	for !now.Before(l.nextChange) {
+		l.fill(l.nextChange)
 		l.recompute()
 	}
 	l.fill(now)
 }
 
-// fill adds the tokens of the time up to t.
+// fill adds the tokens that accrued up to t.
 func (l *ledger) fill(t clock.Time) {
-	if !l.last.Before(t) {
+	if !l.updated.Before(t) {
 		return
 	}
-	l.tokens = min(l.net.capacity, l.tokens+l.net.rate*t.Sub(l.last).Seconds())
-	l.last = t
+	l.tokens = min(l.net.capacity, l.tokens+l.net.rate*t.Sub(l.updated).Seconds())
+	l.updated = t
 }
 
-// recompute drops what has ended by last and finds the share in force and the
-// instant of its next change. Tokens above the capacity are lost.
+// recompute drops the loans that have ended by updated, and computes the current share and the time
+// of its next change. Tokens above the capacity are lost.
 func (l *ledger) recompute() {
-	ended := func(x loan) bool { return !l.last.Before(x.end) }
+	ended := func(x loan) bool { return !l.updated.Before(x.end) }
 	l.lent = slices.DeleteFunc(l.lent, ended)
 	l.borrowed = slices.DeleteFunc(l.borrowed, ended)
-	l.change = never
-	net := l.own(l.last)
+	l.nextChange = never
+	net := l.own(l.updated)
 	for _, p := range l.parts {
 		l.changeAt(p.from)
 		l.changeAt(p.until)
@@ -154,22 +154,22 @@
 		l.changeAt(x.end)
 	}
 	l.net = net.positive()
-	if l.most != (share{}) {
-		l.net = share{min(l.net.rate, l.most.rate), min(l.net.capacity, l.most.capacity)}
+	if l.maxShare != (share{}) {
+		l.net = share{min(l.net.rate, l.maxShare.rate), min(l.net.capacity, l.maxShare.capacity)}
 	}
 	l.tokens = min(l.tokens, l.net.capacity)
 }
 
 func (l *ledger) changeAt(t clock.Time) {
-	if l.last.Before(t) && t.Before(l.change) {
-		l.change = t
+	if l.updated.Before(t) && t.Before(l.nextChange) {
+		l.nextChange = t
 	}
 }
 
 // valid reports whether the part may be used at t.
 func (p part) valid(t clock.Time) bool { return !t.Before(p.from) && t.Before(p.until) }
 
-// own is the share of the slots that are valid at t.
+// own returns the share of the slots that are valid at t.
 func (l *ledger) own(t clock.Time) share {
 	var sum share
 	for _, p := range l.parts {
@@ -180,21 +180,22 @@
 	return sum
 }
 
-// setParts replaces the shares of the slots. No tokens come with new ones: the
-// former holder may have spent them. A ledger that starts has the tokens that
-// its slots gained since they could be used, as no one else had them.
+// setParts replaces the shares of the slots. New slots bring no tokens, because the previous holder
+// may have spent them. A ledger that starts gets the tokens that its slots accrued since they
+// became valid, as no other VM had them.
 func (l *ledger) setParts(parts []part, now clock.Time) {
 	l.advance(now)
 	l.parts = parts
 	l.recompute()
 	if !l.started {
 		l.started = true
-		l.tokens = gained(parts, now)
+		l.tokens = accruedTokens(parts, now)
 	}
 }
 
-// gained is what the buckets of the parts hold at now if they began empty.
-func gained(parts []part, now clock.Time) float64 {
+// accruedTokens returns the tokens in the buckets of the parts at now if all were empty when the
+// parts became valid.
+func accruedTokens(parts []part, now clock.Time) float64 {
 	sum := 0.0
 	for _, p := range parts {
 		if p.from.Before(now) && now.Before(p.until) {
@@ -204,28 +205,28 @@
 	return sum
 }
 
-// takeSparing admits one request if there is a token beyond a part of the bucket.
-func (l *ledger) takeSparing(part float64, now clock.Time) bool {
-	if now.Before(l.change) {
+// takeAboveReserve takes one token if that leaves the reserve, a fraction of the bucket, untouched.
+func (l *ledger) takeAboveReserve(reserve float64, now clock.Time) bool {
+	if now.Before(l.nextChange) {
 		l.fill(now)
 	} else {
 		l.advance(now)
 	}
-	if l.tokens < 1+l.spare(part)-rounding {
+	if l.tokens < 1+l.reservedTokens(reserve)-rounding {
 		return false
 	}
 	l.tokens = max(0, l.tokens-1)
 	return true
 }
 
-// spare is how many tokens a part of the bucket is; a full bucket has one beyond them.
-func (l *ledger) spare(part float64) float64 {
-	return max(0, min(part*l.net.capacity, l.net.capacity-1))
+// reservedTokens converts a reserve, a fraction of the bucket, to tokens. A full bucket always has
+// one token above the reserve.
+func (l *ledger) reservedTokens(reserve float64) float64 {
+	return max(0, min(reserve*l.net.capacity, l.net.capacity-1))
 }
 
-// wait is how long it takes until n tokens exist if nothing else changes; 0
-// says that they never will.
-func (l *ledger) wait(n float64) time.Duration {
+// timeUntil returns how long it takes to accrue n tokens if nothing else changes; 0 means never.
+func (l *ledger) timeUntil(n float64) time.Duration {
 	if l.net.rate <= 0 || l.net.capacity < n {
 		return 0
 	}
@@ -233,13 +234,13 @@
 	return max(time.Millisecond, time.Duration(math.Ceil(seconds*1e9)))
 }
 
-// certain is the share that this VM may lend until t. Slots count whose lease
-// runs now, even if it ends before t: their next holder waits settleTime. Kept
-// slots and loans that it borrowed and that end before t do not count.
-func (l *ledger) certain(t clock.Time) share {
+// guaranteed returns the share that this VM can back loans with until t. It includes slots whose
+// lease is valid now even if it ends before t, as their next holder waits for loanDrainTime. It
+// excludes kept slots and borrowed loans that end before t.
+func (l *ledger) guaranteed(t clock.Time) share {
 	var sum share
 	for _, p := range l.parts {
-		if !p.kept && p.valid(l.last) {
+		if !p.kept && p.valid(l.updated) {
 			sum = sum.plus(p.share)
 		}
 	}
@@ -251,8 +252,8 @@
 	return sum
 }
 
-// lentOut is the sum of what this VM lent.
-func (l *ledger) lentOut() share {
+// totalLent returns the sum of the shares that this VM lent.
+func (l *ledger) totalLent() share {
 	var sum share
 	for _, x := range l.lent {
 		sum = sum.plus(x.share)
@@ -260,32 +261,32 @@
 	return sum
 }
 
-// lendable is what is certain until t and not lent yet.
+// lendable returns the part of the guaranteed share that is not lent yet.
 func (l *ledger) lendable(t clock.Time) share {
-	return l.certain(t).minus(l.lentOut()).positive()
+	return l.guaranteed(t).minus(l.totalLent()).positive()
 }
 
-// covered reports whether all that is lent is certain until t.
+// covered reports whether everything lent is guaranteed until t.
 func (l *ledger) covered(t clock.Time) bool {
-	return l.lentOut().atMost(l.certain(t))
+	return l.totalLent().atMost(l.guaranteed(t))
 }
 
-// lastEnd is when the last loan to a peer ends.
-func (l *ledger) lastEnd() clock.Time {
-	end := l.last
+// lastLentEnd returns the end of the last loan that this VM made.
+func (l *ledger) lastLentEnd() clock.Time {
+	end := l.updated
 	for _, x := range l.lent {
 		end = max(end, x.end)
 	}
 	return end
 }
 
-// lend gives up to want away. The lender uses none of it from now until the
-// loan has ended on its own clock, a margin after the borrower's end.
+// lend lends up to want. The lender uses none of it until the loan has ended on its own clock,
+// which is a margin after the borrower's end.
 func (l *ledger) lend(id uint64, peer string, kind loanKind, want share, tokens float64, d time.Duration, now clock.Time) (grant, bool) {
 	l.advance(now)
 	end := now.Add(d + d/driftDivisor)
-	can := l.lendable(end)
-	s := share{min(want.rate, can.rate), min(want.capacity, can.capacity)}
+	available := l.lendable(end)
+	s := share{min(want.rate, available.rate), min(want.capacity, available.capacity)}
 	tokens = min(tokens, s.capacity, l.tokens)
 	if s.capacity <= 0 {
 		return grant{}, false
@@ -296,18 +297,18 @@
 	return grant{id: id, kind: kind, share: s, tokens: tokens, duration: d}, true
 }
 
-// lendTokens lends whole tokens without any rate, beyond a part of the bucket.
-func (l *ledger) lendTokens(id uint64, peer string, n, spare float64, d time.Duration, now clock.Time) (grant, bool) {
+// lendTokens lends whole tokens without a rate. It leaves the reserve, a fraction of the bucket,
+// untouched.
+func (l *ledger) lendTokens(id uint64, peer string, n, reserve float64, d time.Duration, now clock.Time) (grant, bool) {
 	l.advance(now)
-	n = math.Floor(min(n, l.tokens-l.spare(spare), l.lendable(now.Add(d+d/driftDivisor)).capacity) + rounding)
+	n = math.Floor(min(n, l.tokens-l.reservedTokens(reserve), l.lendable(now.Add(d+d/driftDivisor)).capacity) + rounding)
 	if n < 1 {
 		return grant{}, false
 	}
-	return l.lend(id, peer, tokensOnly, share{capacity: n}, n, d, now)
+	return l.lend(id, peer, tokenLoan, share{capacity: n}, n, d, now)
 }
 
-// extend lengthens a loan that was lent to peer, provided that this VM still
-// has what it lent.
+// extend extends a loan to peer, provided that everything lent is still covered.
 func (l *ledger) extend(id uint64, peer string, d time.Duration, now clock.Time) bool {
 	l.advance(now)
 	end := now.Add(d + d/driftDivisor)
@@ -320,8 +321,8 @@
 	return true
 }
 
-// takeBack ends a loan early: the borrower has stopped using it.
-func (l *ledger) takeBack(id uint64, peer string, tokens float64, now clock.Time) {
+// reclaim ends a loan early, after the borrower has stopped using it.
+func (l *ledger) reclaim(id uint64, peer string, tokens float64, now clock.Time) {
 	l.advance(now)
 	i := slices.IndexFunc(l.lent, func(x loan) bool { return x.id == id && x.peer == peer })
 	if i < 0 {
@@ -333,10 +334,10 @@
 	l.tokens = min(l.net.capacity, l.tokens+tokens)
 }
 
-// borrow adds a grant that was asked for at asked.
-func (l *ledger) borrow(g grant, peer string, asked, now clock.Time) bool {
+// borrow adds a grant that was requested at requestedAt.
+func (l *ledger) borrow(g grant, peer string, requestedAt, now clock.Time) bool {
 	l.advance(now)
-	end := borrowedEnd(asked, g.duration)
+	end := borrowedEnd(requestedAt, g.duration)
 	if !now.Before(end) {
 		return false
 	}
@@ -346,27 +347,27 @@
 	return true
 }
 
-// borrowedEnd is the end of a loan for the borrower: it counts from before it
-// asked, and leaves a margin.
-func borrowedEnd(asked clock.Time, d time.Duration) clock.Time {
-	return asked.Add(d - d/driftDivisor)
+// borrowedEnd returns the end of a loan on the borrower's side. It counts from the time of the
+// request and leaves a margin.
+func borrowedEnd(requestedAt clock.Time, d time.Duration) clock.Time {
+	return requestedAt.Add(d - d/driftDivisor)
 }
 
-// extended notes that the lender extended a loan, as asked for at asked.
-func (l *ledger) extended(id uint64, peer string, d time.Duration, asked, now clock.Time) {
+// applyExtension applies the lender's extension of a loan, which was requested at requestedAt.
+func (l *ledger) applyExtension(id uint64, peer string, d time.Duration, requestedAt, now clock.Time) {
 	l.advance(now)
 	i := slices.IndexFunc(l.borrowed, func(x loan) bool { return x.id == id && x.peer == peer })
 	if i < 0 {
 		return
 	}
-	l.borrowed[i].end = max(l.borrowed[i].end, borrowedEnd(asked, d))
+	l.borrowed[i].end = max(l.borrowed[i].end, borrowedEnd(requestedAt, d))
 	l.recompute()
 }
 
-// giveBack stops using a borrowed loan and returns the tokens that go back
-// with it: those that no longer fit, so that none of its own are given away.
-// It does nothing where the loan backs what this VM lent on.
-func (l *ledger) giveBack(id uint64, peer string, now clock.Time) (tokens float64, ok bool) {
+// returnLoan stops using a borrowed loan and returns the tokens that go back with it: only those
+// that exceed the remaining capacity, so that the VM gives away none of its own. It does nothing if
+// the loan backs what this VM lent to others.
+func (l *ledger) returnLoan(id uint64, peer string, now clock.Time) (tokens float64, ok bool) {
 	l.advance(now)
 	i := slices.IndexFunc(l.borrowed, func(x loan) bool { return x.id == id && x.peer == peer })
 	if i < 0 {
@@ -374,7 +375,7 @@
 	}
 	x := l.borrowed[i]
 	l.borrowed = slices.Delete(l.borrowed, i, i+1)
-	if len(l.lent) > 0 && !l.covered(l.lastEnd()) {
+	if len(l.lent) > 0 && !l.covered(l.lastLentEnd()) {
 		l.borrowed = append(l.borrowed, x)
 		return 0, false
 	}
--- a/pkg/limit/ledger_test.go
+++ b/pkg/limit/ledger_test.go
@@ -11,10 +11,10 @@
 	"crocusramp.dev/crocusramp/pkg/lease"
 )
 
-// take admits one request if there is a token.
-func (l *ledger) take(now clock.Time) bool { return l.takeSparing(0, now) }
+// take takes a token without a reserve.
+func (l *ledger) take(now clock.Time) bool { return l.takeAboveReserve(0, now) }
 
-// newLedger returns a full ledger that has the share from t=0 on.
+// newLedger returns a ledger with a full bucket whose share is valid from t=0.
 func newLedger(s share) *ledger {
 	l := &ledger{}
 	l.setParts([]part{{share: s, until: never}}, 0)
@@ -24,27 +24,28 @@
 
 func at(d time.Duration) clock.Time { return clock.Time(d) }
 
-// TestGiveBackKeepsWhatWasLentOn: the home borrowed 16 of the burst and lent
-// them on. Until that loan has ended its own lender must not use them.
-func TestGiveBackKeepsWhatWasLentOn(t *testing.T) {
+// TestReturnLoanKeepsBackingOfOwnLoans guards against a home that returns a loan of 16 tokens while
+// it lends those tokens to another VM. The lender must not use them until that second loan has
+// ended.
+func TestReturnLoanKeepsBackingOfOwnLoans(t *testing.T) {
 	home := newLedger(share{10, 4})
 	home.borrow(grant{id: 1, share: share{40, 16}, tokens: 16, duration: collectDuration}, "x", 0, 0)
 	if _, ok := home.lendTokens(2, "y", 16, 0, tokenDuration, 0); !ok {
 		t.Fatal("no tokens lent")
 	}
-	if _, ok := home.giveBack(1, "x", at(tokenDuration/2)); ok {
-		t.Error("gave back what it had lent on")
+	if _, ok := home.returnLoan(1, "x", at(tokenDuration/2)); ok {
+		t.Error("returned a loan that backs one of its own")
 	}
-	if _, ok := home.giveBack(1, "x", at(2*tokenDuration)); !ok {
-		t.Error("did not give back once what it lent on had ended")
+	if _, ok := home.returnLoan(1, "x", at(2*tokenDuration)); !ok {
+		t.Error("did not return the loan after its own loan had ended")
 	}
 }
 
-// TestLoweredLimitIsNotExtended: a loan that is larger than the lender's share
-// under the new limit runs out.
+// TestLoweredLimitIsNotExtended checks that a loan larger than the lender's share under a lowered
+// limit is not extended and ends.
 func TestLoweredLimitIsNotExtended(t *testing.T) {
 	l := newLedger(share{10, 4})
-	g, _ := l.lend(1, "home", collected, share{10, 4}, 4, collectDuration, 0)
+	g, _ := l.lend(1, "home", collectLoan, share{10, 4}, 4, collectDuration, 0)
 	if !l.extend(g.id, "home", collectDuration, at(time.Second)) {
 		t.Fatal("not extended under the same limit")
 	}
@@ -58,12 +59,12 @@
 	}
 }
 
-// TestLoanOutlastsBorrower: the lender's end is after the borrower's even if
-// the answer took as long as it could.
+// TestLoanOutlastsBorrower checks that a loan ends later on the lender than on the borrower, even
+// if the response was delayed as long as possible.
 func TestLoanOutlastsBorrower(t *testing.T) {
 	lender, borrower := newLedger(share{10, 4}), newLedger(share{10, 4})
 	const delay = time.Second
-	g, _ := lender.lend(1, "b", collected, share{10, 4}, 4, collectDuration, at(delay))
+	g, _ := lender.lend(1, "b", collectLoan, share{10, 4}, 4, collectDuration, at(delay))
 	if lender.take(at(delay)) {
 		t.Error("the lender used what it had lent")
 	}
@@ -72,28 +73,28 @@
 		t.Errorf("the borrower's end %v is not before the lender's %v", got, before)
 	}
 	if borrower.borrow(grant{id: 2, share: share{10, 4}, duration: collectDuration}, "a", 0, at(collectDuration)) {
-		t.Error("borrowed a loan whose answer came after its end")
+		t.Error("borrowed a loan whose response came after its end")
 	}
 }
 
-// TestSlotWithFormerHolderSettles: the loans of the former holder may be in use
-// until they end.
-func TestSlotWithFormerHolderSettles(t *testing.T) {
-	b := &book{name: "a"}
+// TestTakenOverSlotWaitsForLoans checks that a slot of a previous holder has no tokens until that
+// holder's loans must have ended.
+func TestTakenOverSlotWaitsForLoans(t *testing.T) {
+	b := &budget{name: "a"}
 	h := hold(1, 0, 1)
 	h.Slots[0].New = false
 	b.setShares(&accountOf10, h, 0)
-	if b.take(at(settleTime)) {
-		t.Error("tokens existed before the former holder's loans had ended")
+	if b.take(at(loanDrainTime)) {
+		t.Error("tokens existed before the previous holder's loans had ended")
 	}
-	if !b.take(at(settleTime + time.Second)) {
-		t.Error("no tokens a second after the former holder's loans had ended")
+	if !b.take(at(loanDrainTime + time.Second)) {
+		t.Error("no tokens a second after the previous holder's loans had ended")
 	}
 }
 
-// TestShareEndsWithLease: a VM that was frozen past its lease admits nothing.
+// TestShareEndsWithLease checks that a VM that was frozen past the end of its lease admits nothing.
 func TestShareEndsWithLease(t *testing.T) {
-	b := &book{name: "a"}
+	b := &budget{name: "a"}
 	h := hold(1, 0, 1)
 	h.Slots[0].Until = at(time.Minute)
 	b.setShares(&accountOf10, h, 0)
@@ -108,26 +109,27 @@
 	}
 }
 
-func TestRefusalTellsWhenATokenExists(t *testing.T) {
+func TestTimeUntilToken(t *testing.T) {
 	l := newLedger(share{10, 4})
 	l.tokens = 0
-	wait := l.wait(1)
+	wait := l.timeUntil(1)
 	if l.take(at(wait - time.Millisecond)) {
-		t.Error("a token existed before the time told")
+		t.Error("a token existed before the returned time")
 	}
 	if !l.take(at(wait)) {
-		t.Error("no token at the time told")
+		t.Error("no token at the returned time")
 	}
 }
 
-// FuzzServe checks that no request of a peer breaks the lender's books.
+// FuzzServe checks that no request of a peer corrupts the lender's bucket or makes it lend more
+// than the limit.
 func FuzzServe(f *testing.F) {
 	f.Add(1.0, 1.0, 1.0, 1.0, int64(1000), uint64(1), true)
 	f.Add(math.NaN(), math.Inf(1), -1.0, 1e308, int64(math.MinInt64), uint64(0), false)
 	f.Add(math.Inf(-1), math.NaN(), math.NaN(), math.NaN(), int64(math.MaxInt64), uint64(2), true)
 	f.Fuzz(func(t *testing.T, rate, capacity, tokens, returned float64, us int64, id uint64, home bool) {
 		n := uint64(0)
-		b := newBook("a", func() uint64 { n++; return n })
+		b := newBudget("a", func() uint64 { n++; return n })
 		b.home = home
 		b.setShares(&accountOf10, hold(1, 0, 1), 0)
 		for i := range 3 {
@@ -135,7 +137,7 @@
 				Account: "a", Rate: rate, Capacity: capacity, Tokens: tokens, TokensUs: us, Collect: i == 1,
 				Returns: []*peerpb.LoanReturn{{Id: id, Tokens: returned}}, Extend: []uint64{id},
 			}, "p", at(time.Duration(i+1)*time.Second))
-			lent := b.lentOut()
+			lent := b.totalLent()
 			if !(b.tokens >= 0) || !(b.tokens <= b.net.capacity) {
 				t.Fatalf("%g tokens in a bucket of %g", b.tokens, b.net.capacity)
 			}
@@ -146,24 +148,24 @@
 	})
 }
 
-// TestLendsPastItsLease: the next holder of the slot waits for the loan, so
-// leases shorter than a loan don't end lending.
+// TestLendsPastItsLease checks that leases shorter than a loan don't prevent lending. This is safe
+// because the next holder of the slot waits for the loan to end.
 func TestLendsPastItsLease(t *testing.T) {
 	l := &ledger{}
 	l.setParts([]part{{share: share{10, 4}, until: at(2 * time.Second)}}, 0)
-	if _, ok := l.lend(1, "home", collected, share{10, 4}, 4, collectDuration, at(time.Second)); !ok {
+	if _, ok := l.lend(1, "home", collectLoan, share{10, 4}, 4, collectDuration, at(time.Second)); !ok {
 		t.Error("nothing lent under a lease of 2 s")
 	}
 	if l.extend(1, "home", collectDuration, at(2*time.Second)) {
 		t.Error("extended after the lease")
 	}
-	if got, most := l.lent[0].end, at(2*time.Second+settleTime); got > most {
+	if got, most := l.lent[0].end, at(2*time.Second+loanDrainTime); got > most {
 		t.Errorf("loan ends at %v, after the next holder may start at %v", got, most)
 	}
 }
 
-// TestNewAccountHasItsBurst: a slot that was held for long has a full bucket
-// for an account that is made now, one that was just taken over has none.
+// TestNewAccountHasItsBurst checks the tokens of a new account: a slot that was held for long has a
+// full bucket, one that was just taken over has none.
 func TestNewAccountHasItsBurst(t *testing.T) {
 	l := &ledger{}
 	l.setParts([]part{
@@ -179,14 +181,14 @@
 	l.tokens = 0
 	l.setParts([]part{{share: share{10, 4}, from: 0, until: never}}, at(time.Hour))
 	if l.tokens != 0 {
-		t.Errorf("%g tokens came with a change", l.tokens)
+		t.Errorf("%g tokens were added by a change of the slots", l.tokens)
 	}
 }
 
-// TestLostSlotTakesItsTokensAlong: a slot is lost and the burst raised between two steps of a
-// VM. TestLimitHolds found the lost slot's tokens still in use.
-func TestLostSlotTakesItsTokensAlong(t *testing.T) {
-	b := newBook("a", func() uint64 { return 0 })
+// TestLostSlotLosesItsTokens guards against tokens of a lost slot that stay in use when the burst
+// is raised between the same two steps of a VM. TestLimitHolds found this.
+func TestLostSlotLosesItsTokens(t *testing.T) {
+	b := newBudget("a", func() uint64 { return 0 })
 	two := hold(10, 0, 5)
 	for i := range two.Slots {
 		two.Slots[i].New = true
@@ -202,8 +204,8 @@
 	}
 }
 
-// TestBorrowedTokenIsWhole guards against a request that is refused with a token at hand, as
-// the shares that were lent do not sum to exactly what the VM had.
+// TestBorrowedTokenIsWhole guards against a request that is refused although a token is available:
+// because of rounding, the lent shares do not sum to exactly what the VM had.
 func TestBorrowedTokenIsWhole(t *testing.T) {
 	const now = clock.Time(time.Second)
 	for vms := 2; vms <= 90; vms++ {
@@ -214,9 +216,9 @@
 			own := l.own(now)
 			third := share{own.rate / 3, own.capacity / 3}
 			for id, want := range []share{third, own.minus(third), own} {
-				l.lend(uint64(id), "home", collected, want, 0, time.Second, now)
+				l.lend(uint64(id), "home", collectLoan, want, 0, time.Second, now)
 			}
-			l.borrow(grant{id: 9, kind: tokensOnly, share: share{capacity: 1}, tokens: 1, duration: time.Second}, "home", now, now)
+			l.borrow(grant{id: 9, kind: tokenLoan, share: share{capacity: 1}, tokens: 1, duration: time.Second}, "home", now, now)
 			if !l.take(now) {
 				t.Fatalf("%d VMs, %v a second: a borrowed token admits nothing; the bucket holds %v of %v", vms, rate, l.tokens, l.net.capacity)
 			}
@@ -227,69 +229,69 @@
 	}
 }
 
-// TestFarHomeIsAskedAhead guards against requests of which each waits for a round trip between
-// regions, and against tokens asked for ahead that nobody will use.
-func TestFarHomeIsAskedAhead(t *testing.T) {
+// TestPrefetchFromDistantHome guards against requests that each wait for a round trip between
+// regions, and against prefetched tokens that end unused.
+func TestPrefetchFromDistantHome(t *testing.T) {
 	const now = clock.Time(time.Hour)
 	for _, tt := range []struct {
 		name      string
-		eager     bool
+		prefetch  bool
 		roundTrip time.Duration
 		demand    float64 // requests a second
 		want      step
 	}{
-		{"far", true, 110 * time.Millisecond, 10, stepRefill},
+		{"far", true, 110 * time.Millisecond, 10, stepAdmitRefill},
 		{"far, few requests", true, 110 * time.Millisecond, 1, stepAdmit},
 		{"near", true, time.Millisecond, 10, stepAdmit},
-		{"not eager", false, 110 * time.Millisecond, 3, stepAdmit},
+		{"no prefetch", false, 110 * time.Millisecond, 3, stepAdmit},
 	} {
-		b := newBook("a", func() uint64 { return 1 })
+		b := newBudget("a", func() uint64 { return 1 })
 		b.limit = share{rate: 15, capacity: 18}
-		b.eager, b.roundTrip, b.demand.smoothed, b.demand.start = tt.eager, tt.roundTrip, tt.demand, now
-		b.borrow(grant{id: 1, kind: tokensOnly, share: share{capacity: 1}, tokens: 1, duration: time.Second}, "home", now, now)
+		b.prefetch, b.roundTrip, b.demand.smoothed, b.demand.start = tt.prefetch, tt.roundTrip, tt.demand, now
+		b.borrow(grant{id: 1, kind: tokenLoan, share: share{capacity: 1}, tokens: 1, duration: time.Second}, "home", now, now)
 		if got := b.admit(0, 0, now); got != tt.want {
 			t.Errorf("%s: step %d, want %d", tt.name, got, tt.want)
 		}
 	}
 }
 
-// TestSparingRequestsLeaveTokensToUrgentOnes guards against urgent requests that are refused
-// because less urgent ones took the last tokens.
-func TestSparingRequestsLeaveTokensToUrgentOnes(t *testing.T) {
+// TestReserveIsLeftToUrgentRequests guards against urgent requests that are refused because less
+// urgent ones took the last tokens.
+func TestReserveIsLeftToUrgentRequests(t *testing.T) {
 	const now, half = clock.Time(time.Hour), 0.5
-	home := newBook("a", func() uint64 { return 1 })
+	home := newBudget("a", func() uint64 { return 1 })
 	home.home = true
 	home.limit = share{rate: 1, capacity: 8}
 	home.setParts([]part{{share: home.limit, until: never}}, now)
 	home.tokens = 5.5
 	if home.admit(0, half, now) != stepAdmit || home.admit(0, half, now) != stepRefuse {
-		t.Errorf("half of 8 tokens are to be left; %v are", home.tokens)
+		t.Errorf("half of 8 tokens must be left; %v are left", home.tokens)
 	}
-	ask := func(spare float64) int {
-		return len(home.serve(&peerpb.AccountRequest{Account: "a", Tokens: 1, TokensUs: 1000, Spare: spare}, "vm", now).Grants)
+	ask := func(reserve float64) int {
+		return len(home.serve(&peerpb.AccountRequest{Account: "a", Tokens: 1, TokensUs: 1000, Spare: reserve}, "vm", now).Grants)
 	}
 	if ask(half) != 0 || ask(0) != 1 {
-		t.Errorf("a VM got tokens that are to be left, or none of those for urgent requests; %v are left", home.tokens)
+		t.Errorf("a VM got tokens of the reserve, or an urgent request got none; %v are left", home.tokens)
 	}
 	if home.admit(0, 0, now) != stepAdmit {
 		t.Error("an urgent request was refused")
 	}
 	home.tokens = home.net.capacity
 	if home.admit(0, 1, now) != stepAdmit {
-		t.Error("a full bucket admits no request that is not urgent")
+		t.Error("a full bucket refused a request that is not urgent")
 	}
 }
 
-// TestLoweredLimitBindsTheHomeAtOnce guards against a home that admits by a limit that was
-// lowered, from the loans that were made under it.
+// TestLoweredLimitBindsTheHomeAtOnce guards against a home that still admits by the previous,
+// higher limit because it holds loans made under it.
 func TestLoweredLimitBindsTheHomeAtOnce(t *testing.T) {
 	const now = clock.Time(time.Hour)
-	home := newBook("a", func() uint64 { return 1 })
+	home := newBudget("a", func() uint64 { return 1 })
 	home.home = true
 	h := &lease.Holding{Total: 4, Slots: []lease.Slot{{Index: 0, Until: never, New: true}}}
 	home.setShares(&config.Account{Name: "a", Rate: 40, Burst: 40}, h, now)
 	for id := range uint64(3) {
-		home.borrow(grant{id: id, kind: collected, share: share{10, 10}, tokens: 10, duration: collectDuration}, "vm", now, now)
+		home.borrow(grant{id: id, kind: collectLoan, share: share{10, 10}, tokens: 10, duration: collectDuration}, "vm", now, now)
 	}
 	home.setShares(&config.Account{Name: "a", Rate: 2, Burst: 3}, h, now)
 	admitted := 0
@@ -299,6 +301,6 @@
 		}
 	}
 	if admitted > 3+2 {
-		t.Errorf("%d requests in a second, 2 a second and 3 at once are allowed", admitted)
+		t.Errorf("%d requests in a second, the limit is 2 per second with a burst of 3", admitted)
 	}
 }
--- a/pkg/limit/limit.go
+++ b/pkg/limit/limit.go
@@ -1,6 +1,7 @@
-// Package limit admits requests within each client account's rate and burst
-// over the whole fleet. Every VM holds a share of each limit in escrow; shares
-// move between VMs by loans that end before the lender uses them again.
+// Package limit admits requests within each client account's rate and burst over the whole fleet.
+// Every VM owns a share of each limit as a local token bucket. VMs lend shares to each other; a
+// lender does not use a share again before the loan has ended. Each account has a home VM: it
+// borrows the idle shares of the other VMs and lends them to the VMs that need them.
 package limit
 
 import (
@@ -8,17 +9,17 @@
 	"time"
 )
 
-// Decision is the answer to one admission.
+// Decision is the result of one admission.
 type Decision struct {
 	Admitted bool
 	// RetryAfter is when a refused caller may try again.
 	RetryAfter time.Duration
 }
 
-// Limiter admits requests. Admit is safe for concurrent use; the usual case
-// costs no allocation and no message.
+// Limiter admits requests. Admit is safe for concurrent use; in the usual case it neither allocates
+// memory nor contacts another VM.
 type Limiter interface {
-	// Admit counts one request of the account. It may ask a peer for tokens,
-	// but returns as soon as the answer is certain and before ctx ends.
+	// Admit counts one request of the account. It may request tokens from a peer, but returns as
+	// soon as the decision is certain and before ctx ends.
 	Admit(ctx context.Context, account string) Decision
 }
--- a/pkg/limit/meter.go
+++ b/pkg/limit/meter.go
@@ -6,14 +6,14 @@
 	"crocusramp.dev/crocusramp/pkg/clock"
 )
 
-// meterWindow is the time over which requests are counted.
+// meterWindow is the length of a counting window.
 const meterWindow = 500 * time.Millisecond
 
-// meter estimates a rate of requests from counts in windows.
+// meter estimates a request rate from the counts of consecutive windows.
 type meter struct {
 	start    clock.Time
 	count    float64
-	smoothed float64 // requests a second, from whole windows
+	smoothed float64 // requests per second, from finished windows
 }
 
 // add counts one request.
@@ -22,8 +22,7 @@
 	m.count++
 }
 
-// roll closes the window if it has ended. Windows without requests lower the
-// estimate too.
+// roll closes the window if it has ended. Windows without requests lower the estimate as well.
 func (m *meter) roll(now clock.Time) {
 	elapsed := now.Sub(m.start)
 	if elapsed < meterWindow {
@@ -33,6 +32,6 @@
 	m.start, m.count = now, 0
 }
 
-// rate is the estimate in requests a second. A window that is under way can
-// only raise it.
+// rate returns the estimate in requests per second. The current, unfinished window can only raise
+// it.
 func (m *meter) rate() float64 { return max(m.smoothed, m.count/meterWindow.Seconds()) }
--- a/pkg/limit/recent.go
+++ b/pkg/limit/recent.go
@@ -2,7 +2,7 @@
 
 import lru "github.com/hashicorp/golang-lru/v2"
 
-// recentRequests is how many requests of peers are remembered.
+// recentRequests is the number of peer requests that are remembered.
 const recentRequests = 8192
 
 type requestKey struct {
@@ -10,23 +10,23 @@
 	id       uint64
 }
 
-// recent remembers requests, so that a repeated one is granted nothing. A
-// repetition that comes later than it remembers takes a share out of use for
-// the length of a loan, and does nothing worse.
-type recent struct {
+// requestDedup remembers requests of peers, so that a duplicate is granted nothing. A duplicate
+// that arrives after its entry was evicted can only take a share out of use for the length of one
+// loan.
+type requestDedup struct {
 	seen *lru.Cache[requestKey, struct{}]
 }
 
-func newRecent() *recent {
+func newRequestDedup() *requestDedup {
 	cache, err := lru.New[requestKey, struct{}](recentRequests)
 	if err != nil {
 		panic(err) // The size is a positive constant.
 	}
-	return &recent{seen: cache}
+	return &requestDedup{seen: cache}
 }
 
-// add reports whether the request is new.
-func (r *recent) add(borrower string, id uint64) bool {
+// add records the request and reports whether it is new.
+func (r *requestDedup) add(borrower string, id uint64) bool {
 	found, _ := r.seen.ContainsOrAdd(requestKey{borrower, id}, struct{}{})
 	return !found
 }
--- a/pkg/limit/serve.go
+++ b/pkg/limit/serve.go
@@ -7,23 +7,23 @@
 	"crocusramp.dev/crocusramp/pkg/clock"
 )
 
-// serve answers a peer's request as the lender.
-func (b *book) serve(r *peerpb.AccountRequest, peer string, now clock.Time) *peerpb.AccountResponse {
+// serve handles a peer's request as the lender.
+func (b *budget) serve(r *peerpb.AccountRequest, peer string, now clock.Time) *peerpb.AccountResponse {
 	for _, x := range r.Returns {
-		b.takeBack(x.Id, peer, finite(x.Tokens), now)
+		b.reclaim(x.Id, peer, validAmount(x.Tokens), now)
 	}
 	out := &peerpb.AccountResponse{Account: b.name, Demand: b.demand.smoothed}
-	d := relendDuration
+	d := demandLoanDuration
 	if r.Collect {
 		d = collectDuration
 	}
 	out.ExtendedUs = d.Microseconds()
 	b.advance(now)
-	// Only the home lends on, and it recalls by not extending.
+	// Only the home lends borrowed shares to others; it recalls such a loan by not extending it.
 	keep := b.home
 	if r.Collect {
-		b.light = r.Load < lightLoad || (b.light && r.Load < heavyLoad)
-		keep = !b.recalls(now)
+		b.underLowLoad = r.Load < lowLoad || (b.underLowLoad && r.Load < highLoad)
+		keep = !b.overlent(now)
 	}
 	for _, id := range r.Extend {
 		if keep && b.extend(id, peer, d, now) {
@@ -33,57 +33,57 @@
 	if r.Collect && !b.home {
 		b.grantIdle(out, peer, now)
 	}
-	if want := (share{finite(r.Rate), finite(r.Capacity)}); want.rate > 0 && b.home {
+	if want := (share{validAmount(r.Rate), validAmount(r.Capacity)}); want.rate > 0 && b.home {
 		b.grantShare(out, want, peer, now)
 	}
-	if n := finite(r.Tokens); n >= 1 {
-		b.grantTokens(out, n, finite(r.Spare), time.Duration(r.TokensUs)*time.Microsecond, peer, now)
+	if n := validAmount(r.Tokens); n >= 1 {
+		b.grantTokens(out, n, validAmount(r.Spare), time.Duration(r.TokensUs)*time.Microsecond, peer, now)
 	}
 	return out
 }
 
-// idle is the part of its own share that the VM has no use for.
-func (b *book) idle(now clock.Time) share {
+// idle returns the part of its own share that the VM has no use for.
+func (b *budget) idle(now clock.Time) share {
 	own := b.own(now)
 	kept := b.want
-	if b.light && own.capacity*lightShare >= 1 {
-		kept = share{max(kept.rate, own.rate*lightShare), max(kept.capacity, own.capacity*lightShare)}
+	if b.underLowLoad && own.capacity*lowLoadFraction >= 1 {
+		kept = share{max(kept.rate, own.rate*lowLoadFraction), max(kept.capacity, own.capacity*lowLoadFraction)}
 	}
 	return own.minus(kept).positive()
 }
 
-// lentToHome is what the VM lent for collection.
-func (b *book) lentToHome() share {
+// lentToHome returns the sum of the VM's loans to homes.
+func (b *budget) lentToHome() share {
 	var sum share
 	for _, x := range b.lent {
-		if x.kind == collected {
+		if x.kind == collectLoan {
 			sum = sum.plus(x.share)
 		}
 	}
 	return sum
 }
 
-// recalls reports whether the VM lent more than it can spare.
-func (b *book) recalls(now clock.Time) bool {
+// overlent reports whether the VM lent more to the home than it can spare.
+func (b *budget) overlent(now clock.Time) bool {
 	return b.lentToHome().rate > b.idle(now).rate+b.own(now).rate*minLendFraction
 }
 
-func (b *book) grantIdle(out *peerpb.AccountResponse, peer string, now clock.Time) {
+func (b *budget) grantIdle(out *peerpb.AccountResponse, peer string, now clock.Time) {
 	own := b.own(now)
 	more := b.idle(now).minus(b.lentToHome()).positive()
 	if more.capacity <= own.capacity*minLendFraction || more.rate <= own.rate*minLendFraction {
 		return
 	}
 	tokens := b.tokens * more.capacity / max(more.capacity, b.net.capacity)
-	if g, ok := b.lend(b.nextID(), peer, collected, more, tokens, collectDuration, now); ok {
+	if g, ok := b.lend(b.nextID(), peer, collectLoan, more, tokens, collectDuration, now); ok {
 		out.Grants = append(out.Grants, g.message())
 	}
 }
 
-// grantShare lends on what was collected, but keeps enough for the VMs that
-// ask for single tokens.
-func (b *book) grantShare(out *peerpb.AccountResponse, want share, peer string, now clock.Time) {
-	free := b.lendable(now.Add(relendDuration + relendDuration/driftDivisor))
+// grantShare lends collected shares to a VM, but keeps enough for the VMs that request single
+// tokens.
+func (b *budget) grantShare(out *peerpb.AccountResponse, want share, peer string, now clock.Time) {
+	free := b.lendable(now.Add(demandLoanDuration + demandLoanDuration/driftDivisor))
 	reserve := share{b.limit.rate*homeReserve + b.demand.smoothed, b.limit.capacity * homeBurst}
 	free = free.minus(reserve).positive()
 	want = share{min(want.rate, free.rate), min(want.capacity, free.capacity)}
@@ -91,21 +91,21 @@
 		return
 	}
 	tokens := b.tokens * want.capacity / max(want.capacity, b.net.capacity)
-	if g, ok := b.lend(b.nextID(), peer, relent, want, tokens, relendDuration, now); ok {
+	if g, ok := b.lend(b.nextID(), peer, demandLoan, want, tokens, demandLoanDuration, now); ok {
 		out.Grants = append(out.Grants, g.message())
 	}
 }
 
-func (b *book) grantTokens(out *peerpb.AccountResponse, n, spare float64, d time.Duration, peer string, now clock.Time) {
+func (b *budget) grantTokens(out *peerpb.AccountResponse, n, reserve float64, d time.Duration, peer string, now clock.Time) {
 	d = max(0, min(tokenDuration, d))
-	g, ok := b.lendTokens(b.nextID(), peer, n, spare, d, now)
+	g, ok := b.lendTokens(b.nextID(), peer, n, reserve, d, now)
 	if ok {
 		out.Grants = append(out.Grants, g.message())
 		return
 	}
-	wait := b.wait(1 + b.spare(spare))
+	wait := b.timeUntil(1 + b.reservedTokens(reserve))
 	if wait == 0 {
-		wait = noShareRetry
+		wait = defaultRetryAfter
 	}
 	out.RetryAfterUs = wait.Microseconds()
 }
@@ -117,9 +117,9 @@
 	}
 }
 
-// finite returns x, or 0 where no limit can have that value: one such value
-// would spread to every sum.
-func finite(x float64) float64 {
+// validAmount returns x, or 0 if no limit can have that value, such as NaN. One such value from a
+// peer would spread to every sum.
+func validAmount(x float64) float64 {
 	if x >= 0 && x <= maxAmount {
 		return x
 	}
--- a/pkg/limit/service.go
+++ b/pkg/limit/service.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	// collectTimeout bounds a collection.
+	// collectTimeout is the timeout of a collection.
 	collectTimeout = collectDuration / 2
-	// releasePause is the time between attempts to return what was borrowed.
+	// releasePause is the time between attempts to return borrowed shares.
 	releasePause = 100 * time.Millisecond
 )
 
-// Config says what a Service works on.
+// Config holds the settings and dependencies of a Service.
 type Config struct {
 	// Config publishes the client accounts' rates and bursts.
 	Config config.Source
@@ -40,45 +40,45 @@
 	Clock   clock.Clock
 	Loop    *control.Loop
 	Log     zerolog.Logger
-	// Metrics takes the service's counters; nil keeps them private.
+	// Metrics is the registry of the service's counters; with nil they are not exported.
 	Metrics metrics.Registry
-	// Name tells a second service of a VM from its first, in the names of the counters and
-	// on the peer protocol.
+	// Name distinguishes several services of one VM in counter names and in the path of the peer
+	// protocol.
 	Name string
-	// Eager VMs ask a far home for the token of the next request before that comes, as suits
-	// limits so small that each request takes a token of the home's.
+	// Eager makes VMs request the token of the next request in advance from a distant home. It
+	// suits limits so small that each request takes a token from the home.
 	Eager bool
-	// Near returns the region whose VMs are preferred as an account's home, or none. Nil
-	// prefers no region.
+	// Near returns the region whose VMs are preferred as an account's home, or "" for none. If Near
+	// is nil, no region is preferred.
 	Near func(account string) string
-	// StartTokens is how many tokens the fleet may admit beyond an account's limit
-	// when all its VMs start anew; each starts with its part of them. Nil means none:
-	// a bucket that starts is empty, since an earlier process may have used it up.
+	// StartTokens returns how many tokens the fleet may admit beyond an account's limit when all
+	// its VMs restart; each VM starts with its part of them. Nil means none: buckets start empty,
+	// since an earlier process may have spent the tokens.
 	StartTokens func(*config.Account) float64
 }
 
 // Share is this VM's part of one client account's limit.
 type Share struct {
 	Account string
-	// Rate is in requests a second, Burst and Tokens in requests.
+	// Rate is in requests per second, Burst and Tokens are in requests.
 	Rate, Burst, Tokens float64
-	// Lent and Borrowed are the rates that moved to and from other VMs.
+	// Lent and Borrowed are the rates lent to and borrowed from other VMs.
 	Lent, Borrowed float64
 }
 
-// account is a book with what its concurrent users need.
+// account is a budget with its lock and the inputs that it was last synced with.
 type account struct {
-	mu   sync.Mutex
-	book *book
-	// config and holding are what the book's shares were made from, view what
-	// its home was found in.
+	mu     sync.Mutex
+	budget *budget
+	// config and holding are the inputs of the budget's shares; view is the one that its home was
+	// derived from.
 	config  *config.Account
 	holding *lease.Holding
 	view    *member.View
-	// keepUntil is how long the book is needed if the account is deleted.
+	// keepUntil is how long the budget must be kept if the account is deleted.
 	keepUntil clock.Time
-	// asked is closed when the last request for tokens has ended.
-	asked chan struct{}
+	// askDone is closed when the latest token request has ended.
+	askDone chan struct{}
 }
 
 // Service admits requests from this VM's shares, borrows shares from its peers
@@ -90,16 +90,16 @@
 	mu       sync.Mutex // serializes changes of accounts
 	ids      atomic.Uint64
 	stopping atomic.Bool
-	seen     *recent
-	// lenders counts the exchanges under way by the lender's incarnation.
-	lenders map[string]int
-	lendMu  sync.Mutex
+	dedup    *requestDedup
+	// exchanges counts the exchanges in flight by the lender's incarnation.
+	exchanges   map[string]int
+	exchangesMu sync.Mutex
 
 	admitted, refused, asks, collections, failures metrics.Counter
 }
 
-// NewService returns a Service that admits from this VM's own slots. Loans
-// begin with Start.
+// NewService returns a Service that admits from this VM's own slots. It exchanges no loans before
+// Start.
 func NewService(cfg Config) *Service {
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.NewRegistry()
@@ -110,8 +110,8 @@
 	s := &Service{
 		cfg:         cfg,
 		ctx:         context.Background(),
-		seen:        newRecent(),
-		lenders:     map[string]int{},
+		dedup:       newRequestDedup(),
+		exchanges:   map[string]int{},
 		admitted:    counter("admitted"),
 		refused:     counter("refused"),
 		asks:        counter("asks"),
@@ -119,18 +119,18 @@
 		failures:    counter("failures"),
 	}
 	s.accounts.Store(&map[string]*account{})
-	// Identifiers of loans start at a random number, so that a lender that
-	// restarts does not take a loan of its former incarnation for its own.
+	// Loan IDs start at a random number, so that a lender that restarts does not mistake a loan of
+	// its previous incarnation for one of its own.
 	s.ids.Store(rand.Uint64())
 	return s
 }
 
-// Start exchanges loans with the peers until ctx ends. It must be called
-// before the first Admit and returns at once.
+// Start begins to exchange loans with the peers until ctx ends. It must be called before the first
+// Admit and returns at once.
 func (s *Service) Start(ctx context.Context) {
 	s.ctx = ctx
 	s.cfg.Loop.Every(ctx, collectPeriod, func() { s.cfg.Loop.Go(ctx, s.collectAll) })
-	s.cfg.Loop.Every(ctx, relendPeriod, func() { s.cfg.Loop.Go(ctx, s.relendAll) })
+	s.cfg.Loop.Every(ctx, demandLoanPeriod, func() { s.cfg.Loop.Go(ctx, s.borrowFromHomes) })
 }
 
 // Admit counts one request of the account.
@@ -138,77 +138,77 @@
 	return s.AdmitSparing(ctx, name, 0)
 }
 
-// AdmitSparing counts one request of the account. It leaves a part of the tokens that may be
-// saved up to more urgent requests, at most 1.
-func (s *Service) AdmitSparing(ctx context.Context, name string, spare float64) Decision {
+// AdmitSparing counts one request of the account. It leaves a reserve to more urgent requests, a
+// fraction from 0 to 1 of the bucket's capacity.
+func (s *Service) AdmitSparing(ctx context.Context, name string, reserve float64) Decision {
 	a, c := s.account(name)
 	if a == nil {
 		s.refused.Inc(1)
-		return Decision{RetryAfter: noShareRetry}
+		return Decision{RetryAfter: defaultRetryAfter}
 	}
 	for waits := 0; ; waits++ {
-		d, asked := s.decide(a, c, waits, spare)
-		if asked == nil {
+		d, done := s.decide(a, c, waits, reserve)
+		if done == nil {
 			return d
 		}
 		select {
-		case <-asked:
+		case <-done:
 		case <-ctx.Done():
 			a.mu.Lock()
-			a.book.abandon()
+			a.budget.abandonWait()
 			a.mu.Unlock()
 			s.refused.Inc(1)
-			return Decision{RetryAfter: failedAskPause}
+			return Decision{RetryAfter: failedRequestBackoff}
 		}
 	}
 }
 
-// AdmitLocally is AdmitSparing without asking a peer for tokens.
-func (s *Service) AdmitLocally(name string, spare float64) Decision {
+// AdmitLocally is AdmitSparing without requesting tokens from a peer.
+func (s *Service) AdmitLocally(name string, reserve float64) Decision {
 	a, c := s.account(name)
 	if a == nil {
 		s.refused.Inc(1)
-		return Decision{RetryAfter: noShareRetry}
+		return Decision{RetryAfter: defaultRetryAfter}
 	}
 	now := s.cfg.Clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s.sync(a, c, now)
-	a.book.demand.add(now)
-	if a.book.takeHere(spare, now) {
+	a.budget.demand.add(now)
+	if a.budget.takeLocal(reserve, now) {
 		s.admitted.Inc(1)
 		return Decision{Admitted: true}
 	}
 	s.refused.Inc(1)
-	return Decision{RetryAfter: a.book.retryAfter(spare, now)}
+	return Decision{RetryAfter: a.budget.retryAfter(reserve, now)}
 }
 
-// decide takes one step of an admission that has waited waits times. It is to
-// wait for asked, unless that is nil and the decision final.
-func (s *Service) decide(a *account, c *config.Account, waits int, spare float64) (d Decision, asked <-chan struct{}) {
-	// The clock is read before the holding: what it holds then was still held
-	// at now.
+// decide makes one decision of an admission that has waited waits times. If done is nil, the
+// decision is final; otherwise the caller waits for done and calls decide again.
+func (s *Service) decide(a *account, c *config.Account, waits int, reserve float64) (d Decision, done <-chan struct{}) {
+	// The clock is read before the holding, so that the slots in the holding were still held at
+	// now.
 	now := s.cfg.Clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s.sync(a, c, now)
-	next := a.book.admit(waits, spare, now)
-	if next == stepAsk || next == stepRefill {
-		s.ask(a, spare, now)
+	next := a.budget.admit(waits, reserve, now)
+	if next == stepRequest || next == stepAdmitRefill {
+		s.requestTokens(a, reserve, now)
 	}
 	switch next {
-	case stepAdmit, stepRefill:
+	case stepAdmit, stepAdmitRefill:
 		s.admitted.Inc(1)
 		return Decision{Admitted: true}, nil
 	case stepRefuse:
 		s.refused.Inc(1)
-		return Decision{RetryAfter: a.book.retryAfter(spare, now)}, nil
+		return Decision{RetryAfter: a.budget.retryAfter(reserve, now)}, nil
 	}
-	return Decision{}, a.asked
+	return Decision{}, a.askDone
 }
 
-// account finds the account's book and its limit. It makes the book of an
-// account that has none yet; nil means that there is no such account.
+// account returns the account and its limit, and creates its budget if it has none yet. It returns
+// nil if there is no such account.
 func (s *Service) account(name string) (*account, *config.Account) {
 	c := s.cfg.Config.Snapshot().Accounts[name]
 	if c == nil {
@@ -227,8 +227,8 @@
 	if a := old[name]; a != nil {
 		return a
 	}
-	a := &account{book: newBook(name, func() uint64 { return s.ids.Add(1) })}
-	a.book.eager = s.cfg.Eager
+	a := &account{budget: newBudget(name, func() uint64 { return s.ids.Add(1) })}
+	a.budget.prefetch = s.cfg.Eager
 	next := make(map[string]*account, len(old)+1)
 	for k, v := range old {
 		next[k] = v
@@ -238,41 +238,40 @@
 	return a
 }
 
-// sync makes the book follow the members, the configuration and the slots. a is
-// locked.
+// sync applies the current members, configuration and slots to the budget. The caller holds a.mu.
 func (s *Service) sync(a *account, c *config.Account, now clock.Time) {
 	if view := s.cfg.Members.View(); a.view != view {
 		a.view = view
-		home, ok := s.home(a.book.name)
-		a.book.home = ok && home.ID == view.Self.ID
+		home, ok := s.home(a.budget.name)
+		a.budget.home = ok && home.ID == view.Self.ID
 	}
 	h := s.cfg.Slots.Holding()
 	if a.config == c && a.holding == h {
 		return
 	}
 	a.config, a.holding = c, h
-	a.book.setShares(c, h, now)
+	a.budget.setShares(c, h, now)
 	if s.cfg.StartTokens != nil && c != nil {
-		a.book.startWith(s.cfg.StartTokens(c) / float64(max(1, h.Total)))
+		a.budget.addStartTokens(s.cfg.StartTokens(c) / float64(max(1, h.Total)))
 	}
 }
 
-// ask requests tokens from the home, in the background. a is locked.
-func (s *Service) ask(a *account, spare float64, now clock.Time) {
-	home, ok := s.home(a.book.name)
+// requestTokens requests tokens from the home in the background. The caller holds a.mu.
+func (s *Service) requestTokens(a *account, reserve float64, now clock.Time) {
+	home, ok := s.home(a.budget.name)
 	if !ok {
-		a.book.denyUntil = now.Add(failedAskPause)
-		a.asked = closed
+		a.budget.denyUntil = now.Add(failedRequestBackoff)
+		a.askDone = closedChan
 		return
 	}
 	if home.ID == s.cfg.Members.View().Self.ID {
-		a.book.home = true
-		a.asked = closed
+		a.budget.home = true
+		a.askDone = closedChan
 		return
 	}
-	r, timeout := a.book.ask(spare, now), a.book.timeout()
+	r, timeout := a.budget.tokenRequest(reserve, now), a.budget.timeout()
 	done := make(chan struct{})
-	a.asked = done
+	a.askDone = done
 	s.asks.Inc(1)
 	go func() {
 		defer close(done)
@@ -281,19 +280,19 @@
 		answer := s.exchange(ctx, home, []*peerpb.AccountRequest{r})
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.book.asked(r, answer[a.book.name], home.Incarnation, now, s.cfg.Clock.Now())
+		a.budget.handleTokenResponse(r, answer[a.budget.name], home.Incarnation, now, s.cfg.Clock.Now())
 	}()
 }
 
-// closed is the channel of an ask that ended at once.
-var closed = func() chan struct{} {
+// closedChan is the askDone of a request that ended at once.
+var closedChan = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// refresh gives every account of the configuration a book, drops those of
-// deleted accounts and finds out which this VM is the home of.
+// refresh creates the missing budgets of the configured accounts, drops those of deleted accounts
+// and updates which accounts this VM is the home of.
 func (s *Service) refresh(view *member.View) {
 	snapshot := s.cfg.Config.Snapshot()
 	for name := range snapshot.Accounts {
@@ -310,45 +309,44 @@
 	s.accounts.Store(&kept)
 }
 
-// refreshAccount reports whether the book is still needed: that of a deleted
-// account is until its loans have ended and its buckets would be full, as the account may
-// be made again.
+// refreshAccount updates the account and reports whether its budget is still needed. The budget of
+// a deleted account is kept until its loans have ended and its buckets would be full, as the
+// account may be created again.
 func (s *Service) refreshAccount(a *account, c *config.Account, view *member.View) bool {
-	home, ok := s.home(a.book.name)
+	home, ok := s.home(a.budget.name)
 	now := s.cfg.Clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if c != nil {
-		a.keepUntil = now.Add(max(settleTime, a.book.fillTime()))
+		a.keepUntil = now.Add(max(loanDrainTime, a.budget.fillTime()))
 	}
 	s.sync(a, c, now)
-	a.book.home = ok && home.ID == view.Self.ID
-	a.book.forgetReports(view)
+	a.budget.home = ok && home.ID == view.Self.ID
+	a.budget.dropStaleDemand(view)
 	return c != nil || now.Before(a.keepUntil)
 }
 
-// Shares returns this VM's shares in order of account.
+// Shares returns this VM's shares, sorted by account.
 func (s *Service) Shares() []Share {
 	now := s.cfg.Clock.Now()
 	var shares []Share
 	for name, a := range *s.accounts.Load() {
 		a.mu.Lock()
-		a.book.advance(now)
-		shares = append(shares, a.book.summary(name))
+		a.budget.advance(now)
+		shares = append(shares, a.budget.summary(name))
 		a.mu.Unlock()
 	}
 	slices.SortFunc(shares, func(x, y Share) int { return strings.Compare(x.Account, y.Account) })
 	return shares
 }
 
-// StopLending neither lends nor extends any more, so that all that was lent has
-// ended settleTime later. A VM that stops calls it first: its next process can
-// then use its share at once.
+// StopLending stops making and extending loans, so that all loans have ended loanDrainTime later. A
+// VM that stops calls it first, so that its next process can use the VM's share at once.
 func (s *Service) StopLending() { s.stopping.Store(true) }
 
-// Release hands borrowed shares back and asks for no more. What was lent on
-// keeps a share for up to relendDuration; Release waits for it until ctx ends.
-// Loans of this VM's own share end by themselves.
+// Release returns borrowed shares and borrows no more. A share that was lent to others can't be
+// returned for up to demandLoanDuration; Release waits for it until ctx ends. Loans of this VM's
+// own share end by themselves.
 func (s *Service) Release(ctx context.Context) {
 	s.stopping.Store(true)
 	for {
@@ -369,8 +367,8 @@
 	now := s.cfg.Clock.Now()
 	for _, a := range *s.accounts.Load() {
 		a.mu.Lock()
-		a.book.advance(now)
-		kept := slices.ContainsFunc(a.book.borrowed, func(x loan) bool { return x.kind == collected })
+		a.budget.advance(now)
+		kept := slices.ContainsFunc(a.budget.borrowed, func(x loan) bool { return x.kind == collectLoan })
 		a.mu.Unlock()
 		if kept {
 			return true
--- a/pkg/limit/service_test.go
+++ b/pkg/limit/service_test.go
@@ -23,7 +23,7 @@
 	"crocusramp.dev/crocusramp/pkg/peer"
 )
 
-// sources is what a Service reads from the rest of the daemon.
+// sources fakes the parts of the daemon that a Service reads.
 type sources struct {
 	config  atomic.Pointer[config.Config]
 	holding atomic.Pointer[lease.Holding]
@@ -46,7 +46,7 @@
 
 var accountOf10 = config.Account{Name: "a", Rate: 10, Burst: 4}
 
-// hold returns a holding of every n-th of total slots, from first on.
+// hold returns a holding of every n-th of total slots, starting at first.
 func hold(total, first, n int) *lease.Holding {
 	h := &lease.Holding{Total: total}
 	for i := first; i < total; i += n {
@@ -55,18 +55,18 @@
 	return h
 }
 
-// faulty stands between a VM and its peers.
-type faulty struct {
+// faultyHandler injects faults into the requests of peers.
+type faultyHandler struct {
 	handler http.Handler
-	// frozen requests are neither handled nor answered.
+	// frozen makes it neither handle requests nor respond.
 	frozen atomic.Bool
-	// lossy requests are handled, and their answer is lost.
+	// lossy makes it handle requests and drop the responses.
 	lossy atomic.Bool
 }
 
-func (f *faulty) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *faultyHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if f.frozen.Load() {
-		// The server sees that the client has gone once the body was read.
+		// The server notices that the client has gone only after the body was read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		return
@@ -78,12 +78,12 @@
 	f.handler.ServeHTTP(w, r)
 }
 
-// startFleet runs n services on loopback listeners and the system's clock.
-func startFleet(t *testing.T, n int, c *config.Config) ([]*Service, []*sources, []*faulty) {
+// startFleet runs n services on loopback listeners with the system clock.
+func startFleet(t *testing.T, n int, c *config.Config) ([]*Service, []*sources, []*faultyHandler) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var ended sync.WaitGroup
 	t.Cleanup(func() { cancel(); ended.Wait() })
-	services, all, faults := make([]*Service, n), make([]*sources, n), make([]*faulty, n)
+	services, all, faults := make([]*Service, n), make([]*sources, n), make([]*faultyHandler, n)
 	peers := make([]member.Peer, n)
 	for i := range n {
 		loop := control.NewLoop()
@@ -97,7 +97,7 @@
 			Clock: clock.System{}, Loop: loop, Log: zerolog.Nop(),
 		})
 		_, handler := services[i].Handler()
-		faults[i] = &faulty{handler: handler}
+		faults[i] = &faultyHandler{handler: handler}
 		server := httptest.NewServer(faults[i])
 		t.Cleanup(func() { dialer.Close(); server.Close() })
 		id := fmt.Sprintf("vm-%d", i)
@@ -116,8 +116,8 @@
 	return services, all, faults
 }
 
-// TestSmallRateOverTheFleet admits at a VM whose own share never reaches a
-// whole token: it needs the home's.
+// TestSmallRateOverTheFleet checks that VMs whose own share never reaches a whole token admit with
+// tokens from the home.
 func TestSmallRateOverTheFleet(t *testing.T) {
 	services, _, _ := startFleet(t, 3, accounts(config.Account{Name: "a", Rate: 5, Burst: 3}))
 	start := time.Now()
@@ -128,7 +128,7 @@
 			if d.Admitted {
 				admitted++
 			} else if d.RetryAfter <= 0 {
-				t.Fatal("refused without a time to come back")
+				t.Fatal("refused without a RetryAfter")
 			}
 		}
 		if time.Now().After(deadline) {
@@ -144,19 +144,19 @@
 func TestUnknownAccountIsRefused(t *testing.T) {
 	services, all, _ := startFleet(t, 1, accounts(config.Account{Name: "a", Rate: 1e6, Burst: 10}))
 	if d := services[0].Admit(t.Context(), "b"); d.Admitted {
-		t.Error("an account that does not exist was admitted")
+		t.Error("admitted a request of an account that does not exist")
 	}
 	for !services[0].Admit(t.Context(), "a").Admitted {
 		time.Sleep(time.Millisecond)
 	}
 	all[0].config.Store(config.Empty())
 	if d := services[0].Admit(t.Context(), "a"); d.Admitted {
-		t.Error("a deleted account was admitted")
+		t.Error("admitted a request of a deleted account")
 	}
 }
 
-// TestRecreatedAccountKeepsItsLoans: what was lent before an account was
-// deleted may still be in use when it is made again.
+// TestRecreatedAccountKeepsItsLoans checks that loans survive when an account is deleted and
+// created again, as the borrower may still use them.
 func TestRecreatedAccountKeepsItsLoans(t *testing.T) {
 	s, src, now := newService(accountOf10)
 	now.Advance(time.Second)
@@ -164,7 +164,7 @@
 		Borrower: "b", RequestId: 1, Accounts: []*peerpb.AccountRequest{{Account: "a", Collect: true, Load: 1}},
 	})
 	if err != nil || len(answer.Accounts) != 1 || len(answer.Accounts[0].Grants) != 1 {
-		t.Fatalf("Exchange: %v, %v", answer, err)
+		t.Fatalf("Exchange: %v, %v; want one grant", answer, err)
 	}
 	src.config.Store(config.Empty())
 	s.refresh(src.View())
@@ -175,15 +175,15 @@
 		t.Error("admitted from a share that is still lent")
 	}
 	src.config.Store(config.Empty())
-	now.Advance(settleTime)
+	now.Advance(loanDrainTime)
 	s.refresh(src.View())
 	if len(s.Shares()) != 0 {
 		t.Errorf("shares of a deleted account: %v", s.Shares())
 	}
 }
 
-// TestHomeFollowsTheView: a VM that has just started takes itself for the home
-// until it knows its peers, and not for longer.
+// TestHomeFollowsTheView checks that a VM that has just started stops taking itself for the home as
+// soon as it knows its peers.
 func TestHomeFollowsTheView(t *testing.T) {
 	services, all, _ := startFleet(t, 2, accounts(config.Account{Name: "a", Rate: 1000, Burst: 100}))
 	home := slices.IndexFunc(all, func(s *sources) bool { return s.View().Self.ID == services[0].Homes("a")[0] })
@@ -196,15 +196,15 @@
 	for !services[home].Admit(t.Context(), "a").Admitted {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(20 * time.Millisecond) // a few tokens at 500 a second
+	time.Sleep(20 * time.Millisecond) // time for a few tokens at 500 per second
 	all[other].view.Store(full)
 	if !services[other].Admit(t.Context(), "a").Admitted {
 		t.Error("refused though the home has tokens")
 	}
 }
 
-// newService returns a service with all slots and a fake clock, that is not
-// the home of any account.
+// newService returns a service that holds all slots, has a fake clock and is not the home of any
+// account.
 func newService(a config.Account) (*Service, *sources, *clock.Fake) {
 	src := &sources{}
 	src.config.Store(accounts(a))
@@ -219,7 +219,7 @@
 	return s, src, now
 }
 
-// BenchmarkAdmitDecision leaves out the system call that reads the clock.
+// BenchmarkAdmitDecision measures Admit without the system call that reads the clock.
 func BenchmarkAdmitDecision(b *testing.B) {
 	s, _, now := newService(config.Account{Name: "a", Rate: 1e12, Burst: 1e12})
 	now.Advance(time.Second)
@@ -252,7 +252,7 @@
 	}
 }
 
-// TestHomeIsNear guards against tokens that are asked for in another region than the one that
+// TestHomeIsNear guards against tokens that are requested from another region than the one that
 // uses them.
 func TestHomeIsNear(t *testing.T) {
 	view := &member.View{Self: member.Peer{ID: "vm-0", Region: "east"}}
@@ -261,27 +261,28 @@
 	}
 	src := &sources{}
 	src.view.Store(view)
-	near := ""
-	s := NewService(Config{Config: src, Slots: src, Members: src, Clock: clock.System{}, Near: func(string) string { return near }})
+	preferred := ""
+	s := NewService(Config{Config: src, Slots: src, Members: src, Clock: clock.System{}, Near: func(string) string { return preferred }})
 	anywhere := map[string]bool{}
 	for i := range 50 {
 		name := fmt.Sprint("account-", i)
-		for _, near = range []string{"east", "west", "south"} {
-			if home, ok := s.home(name); !ok || home.Region != near {
-				t.Errorf("the home of %s is %s in %s, want one in %s", name, home.ID, home.Region, near)
+		for _, preferred = range []string{"east", "west", "south"} {
+			if home, ok := s.home(name); !ok || home.Region != preferred {
+				t.Errorf("the home of %s is %s in %s, want one in %s", name, home.ID, home.Region, preferred)
 			}
 		}
-		near = "north" // where no VM is
+		preferred = "north" // where no VM is
 		home, _ := s.home(name)
 		anywhere[home.ID] = true
 	}
 	if len(anywhere) != 5 {
-		t.Errorf("homes without a region to prefer: %v", anywhere)
+		t.Errorf("homes without a live VM in the preferred region: %v", anywhere)
 	}
 }
 
-// BenchmarkRelend is one round of asking homes for shares, with 474 accounts in a fleet of 62 VMs.
-func BenchmarkRelend(b *testing.B) {
+// BenchmarkBorrowFromHomes measures one round of share requests to homes, with 474 accounts in a
+// fleet of 62 VMs.
+func BenchmarkBorrowFromHomes(b *testing.B) {
 	src := &sources{}
 	c := config.Empty()
 	for i := range 474 {
@@ -298,6 +299,6 @@
 	s := NewService(Config{Config: src, Slots: src, Members: src, Clock: clock.System{}, Log: zerolog.Nop()})
 	s.refresh(view)
 	for b.Loop() {
-		s.relendAll(b.Context())
+		s.borrowFromHomes(b.Context())
 	}
 }
--- a/pkg/limit/settle.go
+++ b/pkg/limit/settle.go
@@ -13,58 +13,58 @@
 )
 
 const (
-	// holdsTimeout bounds one question to a peer: two round trips between the
-	// farthest regions.
+	// holdsTimeout is the timeout of one Holds call to a peer: two round trips between the farthest
+	// regions.
 	holdsTimeout = 300 * time.Millisecond
-	// holdsPause is the time between two questions to a peer.
+	// holdsPause is the time between two Holds calls to a peer.
 	holdsPause = 50 * time.Millisecond
-	// refusalsOfDead is how many refused connections in a row prove that no process
-	// runs at an address.
-	refusalsOfDead = 2
+	// refusalsUntilDead is how many refused connections in a row prove that no process runs at an
+	// address.
+	refusalsUntilDead = 2
 )
 
-// asking notes an exchange with a lender until the returned function is called.
-func (s *Service) asking(incarnation string) (done func()) {
-	s.lendMu.Lock()
-	defer s.lendMu.Unlock()
-	s.lenders[incarnation]++
+// trackExchange records an exchange with a lender until the returned function is called.
+func (s *Service) trackExchange(incarnation string) (done func()) {
+	s.exchangesMu.Lock()
+	defer s.exchangesMu.Unlock()
+	s.exchanges[incarnation]++
 	return func() {
-		s.lendMu.Lock()
-		defer s.lendMu.Unlock()
-		if s.lenders[incarnation]--; s.lenders[incarnation] == 0 {
-			delete(s.lenders, incarnation)
+		s.exchangesMu.Lock()
+		defer s.exchangesMu.Unlock()
+		if s.exchanges[incarnation]--; s.exchanges[incarnation] == 0 {
+			delete(s.exchanges, incarnation)
 		}
 	}
 }
 
-// Holds answers a VM that has restarted.
+// Holds tells a VM that has restarted whether this VM may hold its loans.
 func (v server) Holds(_ context.Context, r *peerpb.HoldsRequest) (*peerpb.HoldsResponse, error) {
-	return &peerpb.HoldsResponse{Holds: v.s.mayHold(r.Vm, r.Incarnation)}, nil
+	return &peerpb.HoldsResponse{Holds: v.s.mayHoldLoan(r.Vm, r.Incarnation)}, nil
 }
 
-// mayHold reports whether this VM has, or may be about to get, a loan of an
-// earlier incarnation of the VM. Loans name only their lender's incarnation, so
-// every loan counts that is not surely another VM's.
-func (s *Service) mayHold(vm, incarnation string) bool {
+// mayHoldLoan reports whether this VM holds, or may be about to receive, a loan of an earlier
+// incarnation of the VM. Loans name only their lender's incarnation, so every loan counts that is
+// not certainly another VM's.
+func (s *Service) mayHoldLoan(vm, incarnation string) bool {
 	others := []string{incarnation}
 	for _, p := range s.cfg.Members.View().Peers {
 		if p.ID != vm {
 			others = append(others, p.Incarnation)
 		}
 	}
-	s.lendMu.Lock()
-	for lender := range s.lenders {
+	s.exchangesMu.Lock()
+	for lender := range s.exchanges {
 		if !slices.Contains(others, lender) {
-			s.lendMu.Unlock()
+			s.exchangesMu.Unlock()
 			return true
 		}
 	}
-	s.lendMu.Unlock()
+	s.exchangesMu.Unlock()
 	now := s.cfg.Clock.Now()
 	for _, a := range *s.accounts.Load() {
 		a.mu.Lock()
-		a.book.advance(now)
-		held := slices.ContainsFunc(a.book.borrowed, func(x loan) bool { return !slices.Contains(others, x.peer) })
+		a.budget.advance(now)
+		held := slices.ContainsFunc(a.budget.borrowed, func(x loan) bool { return !slices.Contains(others, x.peer) })
 		a.mu.Unlock()
 		if held {
 			return true
@@ -73,25 +73,25 @@
 	return false
 }
 
-// AwaitSettled returns true once no VM may use what an earlier incarnation of
-// this one lent: each has said so, or nothing runs at its address. It returns
-// false where that takes as long as the loans themselves.
+// AwaitSettled waits until no VM can use what an earlier incarnation of this one lent: each VM has
+// confirmed it, or no process runs at its address. It returns false if that takes as long as the
+// longest loan.
 func (s *Service) AwaitSettled(ctx context.Context, vms []storage.VM) bool {
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+	ctx, cancel := context.WithTimeout(ctx, loanDrainTime)
 	defer cancel()
 	self := s.cfg.Members.View().Self
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, vm := range vms {
 		if vm.ID != self.ID {
-			asked.Go(func() { s.awaitSettledAt(ctx, vm, self.ID, self.Incarnation) })
+			calls.Go(func() { s.awaitLoansEndedAt(ctx, vm, self.ID, self.Incarnation) })
 		}
 	}
-	asked.Wait()
+	calls.Wait()
 	return ctx.Err() == nil
 }
 
-// awaitSettledAt returns when one VM holds nothing, or ctx ends.
-func (s *Service) awaitSettledAt(ctx context.Context, vm storage.VM, id, incarnation string) {
+// awaitLoansEndedAt returns when one VM holds no loan, or ctx ends.
+func (s *Service) awaitLoansEndedAt(ctx context.Context, vm storage.VM, id, incarnation string) {
 	client := s.client(vm.PeerAddress)
 	for refused := 0; ctx.Err() == nil; {
 		call, cancel := context.WithTimeout(ctx, holdsTimeout)
@@ -103,7 +103,7 @@
 		if refused++; !errors.Is(err, syscall.ECONNREFUSED) {
 			refused = 0
 		}
-		if refused == refusalsOfDead {
+		if refused == refusalsUntilDead {
 			return
 		}
 		select {
--- a/pkg/limit/sim_test.go
+++ b/pkg/limit/sim_test.go
@@ -14,28 +14,27 @@
 	"crocusramp.dev/crocusramp/pkg/config"
 )
 
-// simCase is one row of the comparison with an ideal bucket.
+// simCase is one configuration that is compared with an ideal bucket.
 type simCase struct {
 	rate, burst float64
-	skew        float64       // part of the callers on one VM, 0 to 1
+	skew        float64       // fraction of the callers on one VM
 	latency     time.Duration // one way between any two VMs
 	atHome      bool          // the skewed callers are on the home
 	static      bool          // no loans
 }
 
-// simResult holds percentages of the requests that an ideal bucket admits,
-// and rates by the second.
+// simResult holds percentages of the requests that an ideal bucket admits, and rates per second.
 type simResult struct {
-	wrongful  float64 // refused here, admitted by the ideal bucket
+	wrongful  float64 // refused by the fleet, admitted by the ideal bucket
 	net       float64 // how many fewer were admitted
 	ideal     float64 // refused by the ideal bucket
-	waited    float64 // part of the requests that waited for a message
+	waited    float64 // requests that waited for a response from the home
 	meanWait  time.Duration
-	messages  float64 // requests between VMs a second
+	messages  float64 // requests between VMs per second
 	violation float64 // tokens by which burst + rate*t was exceeded
 }
 
-// bucket is the ideal: one token bucket for the whole fleet.
+// bucket is the ideal limiter: one token bucket for the whole fleet.
 type bucket struct {
 	share
 	tokens float64
@@ -77,15 +76,15 @@
 	return e
 }
 
-// sim runs the books of one account on several VMs over simulated messages.
+// sim runs the budgets of one account on several VMs with simulated requests between them.
 type sim struct {
 	simCase
 	rng     *rand.Rand
 	now     clock.Time
 	seq     int
 	queue   eventQueue
-	books   []*book
-	waiting []*[]func() // by VM, the requests that wait for its last ask
+	budgets []*budget
+	waiting []*[]func() // by VM, the requests that wait for its latest token request
 	ideal   bucket
 	audit   bucket
 
@@ -110,10 +109,10 @@
 	s.audit = s.ideal
 	id := uint64(0)
 	for i := range simVMs {
-		b := newBook("a", func() uint64 { id++; return id })
+		b := newBudget("a", func() uint64 { id++; return id })
 		b.home = i == simHome && !c.static
 		b.setShares(&config.Account{Rate: c.rate, Burst: c.burst}, hold(16, i, simVMs), s.now)
-		s.books = append(s.books, b)
+		s.budgets = append(s.budgets, b)
 	}
 	return s
 }
@@ -147,22 +146,22 @@
 }
 
 func (s *sim) request(vm int, ideal bool, arrived clock.Time, tries int) {
-	b := s.books[vm]
+	b := s.budgets[vm]
 	next := b.admit(tries, 0, s.now)
-	if s.static && (next == stepAsk || next == stepWaitAsk) {
+	if s.static && (next == stepRequest || next == stepWait) {
 		next = stepRefuse
 	}
 	switch next {
-	case stepAsk:
-		s.ask(vm)
+	case stepRequest:
+		s.requestTokens(vm)
 		fallthrough
-	case stepWaitAsk:
+	case stepWait:
 		list := s.waiting[vm]
 		*list = append(*list, func() { s.request(vm, ideal, arrived, tries+1) })
 		return
-	case stepRefill:
+	case stepAdmitRefill:
 		if !s.static {
-			s.ask(vm)
+			s.requestTokens(vm)
 		}
 	}
 	s.count(ideal, next != stepRefuse, arrived)
@@ -192,13 +191,13 @@
 	}
 }
 
-func (s *sim) ask(vm int) {
+func (s *sim) requestTokens(vm int) {
 	sent := s.now
-	r := s.books[vm].ask(0, s.now)
+	r := s.budgets[vm].tokenRequest(0, s.now)
 	waiting := &[]func(){}
 	s.waiting[vm] = waiting
 	s.call(vm, simHome, r, func(a *peerpb.AccountResponse) {
-		s.books[vm].asked(r, a, peerName(simHome), sent, s.now)
+		s.budgets[vm].handleTokenResponse(r, a, peerName(simHome), sent, s.now)
 		for _, f := range *waiting {
 			f()
 		}
@@ -212,7 +211,7 @@
 		s.messageCount++
 	}
 	s.after(s.latency, func() {
-		a := s.books[to].serve(r, peerName(from), s.now)
+		a := s.budgets[to].serve(r, peerName(from), s.now)
 		s.after(s.latency, func() { done(a) })
 	})
 }
@@ -227,22 +226,22 @@
 }
 
 func (s *sim) collectFrom(vm int) {
-	sent, home := s.now, s.books[simHome]
-	q := home.collect(peerName(vm), s.now)
+	sent, home := s.now, s.budgets[simHome]
+	q := home.collectRequest(peerName(vm), s.now)
 	s.call(simHome, vm, q, func(r *peerpb.AccountResponse) {
-		if home.collectedFrom(q, r, peerName(vm), sent, s.now) {
+		if home.handleCollectResponse(q, r, peerName(vm), sent, s.now) {
 			s.collectFrom(vm)
 		}
 	})
 }
 
-func (s *sim) relend() {
-	s.after(relendPeriod, s.relend)
-	for i, b := range s.books {
+func (s *sim) borrowFromHome() {
+	s.after(demandLoanPeriod, s.borrowFromHome)
+	for i, b := range s.budgets {
 		sent := s.now
-		if q := b.relend(peerName(simHome), s.now); q != nil {
+		if q := b.shareRequest(peerName(simHome), s.now); q != nil {
 			s.call(i, simHome, q, func(r *peerpb.AccountResponse) {
-				b.accept(relent, r, peerName(simHome), sent, s.now)
+				b.applyResponse(demandLoan, r, peerName(simHome), sent, s.now)
 			})
 		}
 	}
@@ -253,7 +252,7 @@
 	s.arrive()
 	if !c.static {
 		s.collect()
-		s.relend()
+		s.borrowFromHome()
 	}
 	s.run(20 * time.Second)
 	s.measuring, s.requests = true, 0
@@ -276,7 +275,7 @@
 	simLatencies = []time.Duration{time.Millisecond, 12 * time.Millisecond, 55 * time.Millisecond}
 )
 
-// environment returns the number in a variable of the environment.
+// environment returns the number in an environment variable.
 func environment(name string, byDefault uint64) uint64 {
 	n, err := strconv.ParseUint(os.Getenv(name), 10, 64)
 	if err != nil {
@@ -285,17 +284,17 @@
 	return n
 }
 
-// maxWrongful is the target in percent of the requests that an ideal bucket
+// maxWrongful is the target for wrongly refused requests, in percent of those that an ideal bucket
 // admits.
 const maxWrongful = 1.0
 
-// targetMissed says where the target is not reached: a burst of five tokens is
-// too small for one of them to be under way for a round trip of 24 ms or more.
+// targetMissed reports whether the target can't be reached: a burst of five tokens is too small for
+// one of them to be in flight for a round trip of 24 ms or more.
 func targetMissed(c simCase) bool { return c.burst < 20 && c.latency > time.Millisecond }
 
-// TestSimulationTable compares the loans with an ideal bucket and with a static
-// split; -v prints the table. It fails where the limit was exceeded, and where
-// the target is missed in a row that reaches it.
+// TestSimulationTable compares lending with an ideal bucket and with a static split; -v prints the
+// table. It fails if the limit is exceeded, or if the target is missed in a row where it can be
+// reached.
 func TestSimulationTable(t *testing.T) {
 	seed, requests := environment("SIM_SEED", 1), int(environment("SIM_REQUESTS", 5000))
 	t.Log("rate burst skew | static wrongful | latency: wrongful net (ideal refuses) waited mean msg/s")
--- a/pkg/limit/world_test.go
+++ b/pkg/limit/world_test.go
@@ -15,23 +15,23 @@
 	"crocusramp.dev/crocusramp/pkg/lease"
 )
 
-// mutation takes one mechanism away, to show that the property needs it.
+// mutation disables one mechanism, to show that the property depends on it.
 type mutation uint8
 
 const (
-	intact mutation = iota
-	// lenderKeeps lets the lender go on using what it lent.
+	noMutation mutation = iota
+	// lenderKeeps lets the lender keep using what it lent.
 	lenderKeeps
-	// countFromAnswer lets the borrower count a loan from its arrival.
+	// countFromAnswer makes the borrower count a loan's duration from the arrival of the response.
 	countFromAnswer
-	// fullOnTakeover starts the buckets of a slot that was taken over full.
+	// fullOnTakeover fills the bucket of a slot that is taken over.
 	fullOnTakeover
-	// noSettle lets the taker of a slot use it before the former holder's
-	// loans have ended.
-	noSettle
-	// lendsKept lets a VM lend the slots that it is to keep.
+	// noDrainWait lets the new holder of a slot use it before the previous holder's loans have
+	// ended.
+	noDrainWait
+	// lendsKept lets a VM lend its kept slots.
 	lendsKept
-	// fastClocks lets clocks differ by more than the margin covers.
+	// fastClocks makes clocks differ by more than the margins cover.
 	fastClocks
 )
 
@@ -39,15 +39,15 @@
 	maxWorldVMs = 4
 	worldSlots  = 5
 	worldSteps  = 300
-	// maxDrift is the deviation of a clock that the margins cover.
+	// maxDrift is the relative clock drift that the margins cover.
 	maxDrift = 0.019
 )
 
 // worldVM is one incarnation of a VM.
 type worldVM struct {
-	name string
-	book *book
-	// config is the newest version here; applied is in force in book.
+	name   string
+	budget *budget
+	// config is the newest version known here; applied is the one in force in budget.
 	config  *config.Account
 	applied *config.Account
 	slots   map[int]lease.Slot
@@ -57,11 +57,11 @@
 
 type worldSlot struct {
 	holder *worldVM
-	// vacantAt is the true time from which it may be taken, if renewal ended.
+	// vacantAt is the true time from which the slot may be taken if its lease is not renewed.
 	vacantAt time.Duration
 	expiring bool
 	used     bool
-	// orphaned says that the last holder's process has ended.
+	// orphaned reports that the process of the last holder has ended.
 	orphaned bool
 }
 
@@ -73,22 +73,22 @@
 	sent     clock.Time // on the clock of from
 }
 
-// world runs the books of several VMs with hostile timing. now is true time.
+// world simulates several VMs with adversarial timing. now is the true time.
 type world struct {
 	*rapid.T
-	mutation mutation
-	now      time.Duration
-	vms      []*worldVM
-	slots    [worldSlots]worldSlot
-	flight   []*message
-	former   []formerLimit
-	audit    bucket
-	ids      uint64
-	born     int
-	broken   string
+	mutation     mutation
+	now          time.Duration
+	vms          []*worldVM
+	slots        [worldSlots]worldSlot
+	inFlight     []*message
+	formerLimits []formerLimit
+	audit        bucket
+	ids          uint64
+	processes    int
+	violation    string
 }
 
-// formerLimit is a version that was in force somewhere until a time.
+// formerLimit is a limit that still bounds loans until a time.
 type formerLimit struct {
 	share
 	until time.Duration
@@ -98,15 +98,15 @@
 	w := &world{T: t, mutation: m, now: time.Hour}
 	a := &config.Account{Name: "a", Rate: 50, Burst: 20}
 	for range rapid.IntRange(2, maxWorldVMs).Draw(t, "VMs") {
-		w.vms = append(w.vms, w.boot(a))
+		w.vms = append(w.vms, w.startProcess(a))
 	}
 	w.audit = bucket{share: share{a.Rate, a.Burst}, tokens: a.Burst, last: clock.Time(w.now)}
 	for k := range worldSlots {
 		w.take(k, w.vms[k%len(w.vms)])
 	}
-	// Slots have been held for a while, or not, when the account is made. All
-	// books start under the same version: one that starts under a raised limit
-	// takes it for one that was always in force.
+	// Some slots have been held for a while when the account is created. All budgets start under
+	// the same version: a budget that starts under a raised limit assumes that it was always in
+	// force.
 	for range rapid.IntRange(0, 4).Draw(t, "slots taken before") {
 		w.advance()
 		w.takeover()
@@ -117,19 +117,19 @@
 	return w
 }
 
-func (w *world) boot(a *config.Account) *worldVM {
-	w.born++
+func (w *world) startProcess(a *config.Account) *worldVM {
+	w.processes++
 	drift := maxDrift
 	if w.mutation == fastClocks {
 		drift = 0.3
 	}
 	return &worldVM{
-		name:   fmt.Sprint("vm-", w.born),
+		name:   fmt.Sprint("vm-", w.processes),
 		config: a, applied: a,
 		slots:  map[int]lease.Slot{},
-		offset: clock.Time(w.born) * clock.Time(time.Hour),
+		offset: clock.Time(w.processes) * clock.Time(time.Hour),
 		speed:  1 + drift*rapid.SampledFrom([]float64{-1, 0, 1}).Draw(w.T, "speed"),
-		book:   newBook("a", func() uint64 { w.ids++; return w.ids }),
+		budget: newBudget("a", func() uint64 { w.ids++; return w.ids }),
 	}
 }
 
@@ -137,7 +137,7 @@
 	return v.offset + clock.Time(float64(w.now)*v.speed)
 }
 
-// sync does before each step of a VM what Service.sync does.
+// sync repeats what Service.sync does before each step of a VM.
 func (w *world) sync(v *worldVM) clock.Time {
 	now := w.clock(v)
 	h := &lease.Holding{Total: worldSlots}
@@ -147,36 +147,36 @@
 		}
 	}
 	if v.applied != v.config {
-		w.retire(v)
+		w.retireLimit(v)
 		v.applied = v.config
 	}
-	v.book.setShares(v.config, h, now)
+	v.budget.setShares(v.config, h, now)
 	return now
 }
 
-// retire notes that the version in force on v still bounds what was lent.
-func (w *world) retire(v *worldVM) {
+// retireLimit records that the version in force on v still bounds what was lent.
+func (w *world) retireLimit(v *worldVM) {
 	s := share{v.applied.Rate, v.applied.Burst}
-	w.former = append(w.former, formerLimit{s, w.now + settleTime + time.Second})
+	w.formerLimits = append(w.formerLimits, formerLimit{s, w.now + loanDrainTime + time.Second})
 }
 
 func (w *world) take(k int, v *worldVM) {
 	s := &w.slots[k]
 	now := w.clock(v)
-	// A kept slot is used at once by the next process, not where a live VM gives it away:
-	// that one goes on counting its rate until its next step.
+	// A kept slot is usable at once by the VM's next process, but not if a live VM releases it:
+	// that VM still counts the slot's rate until its next step.
 	kept := k%2 == 0
-	fresh := !s.used || (kept && s.orphaned) || w.mutation == noSettle
+	fresh := !s.used || (kept && s.orphaned) || w.mutation == noDrainWait
 	v.slots[k] = lease.Slot{Index: k, Since: now, Until: never, New: fresh, Kept: kept && w.mutation != lendsKept}
 	if s.used && w.mutation == fullOnTakeover {
-		v.slots[k] = lease.Slot{Index: k, Since: now.Add(-settleTime), Until: never}
+		v.slots[k] = lease.Slot{Index: k, Since: now.Add(-loanDrainTime), Until: never}
 		w.sync(v)
-		v.book.tokens = v.book.net.capacity
+		v.budget.tokens = v.budget.net.capacity
 	}
 	*s = worldSlot{holder: v, used: true}
 }
 
-// takeover moves a slot: its holder releases it or lets its lease end, or it
+// takeover changes the holder of a slot: the holder releases it or lets its lease end, or the slot
 // is vacant already.
 func (w *world) takeover() {
 	k := rapid.IntRange(0, worldSlots-1).Draw(w.T, "slot")
@@ -200,7 +200,7 @@
 	}
 }
 
-// replace kills a VM; its slots are free at once by evidence of its death.
+// replace kills a VM; its slots are free at once, as its death is proven.
 func (w *world) replace() {
 	i := rapid.IntRange(0, len(w.vms)-1).Draw(w.T, "killed")
 	old := w.vms[i]
@@ -211,27 +211,27 @@
 			inherited = append(inherited, k)
 		}
 	}
-	w.retire(old)
-	w.vms[i] = w.boot(rapid.SampledFrom(w.vms).Draw(w.T, "config of").config)
-	// The next process of the VM has the slots that it keeps.
+	w.retireLimit(old)
+	w.vms[i] = w.startProcess(rapid.SampledFrom(w.vms).Draw(w.T, "config of").config)
+	// The next process of the VM holds the slots that it keeps.
 	for _, k := range inherited {
 		if k%2 == 0 {
 			w.take(k, w.vms[i])
 		}
 	}
 	w.sync(w.vms[i])
-	kept := w.flight[:0]
-	for _, m := range w.flight {
+	kept := w.inFlight[:0]
+	for _, m := range w.inFlight {
 		if m.from != old && m.to != old {
 			kept = append(kept, m)
 		}
 	}
-	w.flight = kept
+	w.inFlight = kept
 }
 
 func (w *world) pick(label string) *worldVM { return rapid.SampledFrom(w.vms).Draw(w.T, label) }
 
-// configure changes the limit on one VM; the others keep theirs.
+// configure changes the limit on one VM, and sometimes on all of them.
 func (w *world) configure() {
 	v := w.pick("configured")
 	if rapid.Bool().Draw(w.T, "same as another") {
@@ -251,15 +251,14 @@
 	}
 }
 
-// bound is the largest limit that is in force on any VM, or was until the
-// loans that were made under it have ended. A rate counts on the VMs' clocks,
-// so the fastest of them sets it.
+// bound returns the largest limit that is in force on any VM, or that was in force and still has
+// loans running. Rates count on the VMs' clocks, so the fastest clock determines the rate.
 func (w *world) bound() share {
 	var s share
 	for _, v := range w.vms {
 		s.rate, s.capacity = max(s.rate, v.applied.Rate), max(s.capacity, v.applied.Burst)
 	}
-	for _, f := range w.former {
+	for _, f := range w.formerLimits {
 		if w.now < f.until {
 			s.rate, s.capacity = max(s.rate, f.rate), max(s.capacity, f.capacity)
 		}
@@ -275,21 +274,20 @@
 	w.refill()
 }
 
-// refill brings the audit to now. A limit that ends within an advance bounds
-// it to its end.
+// refill brings the audit to now. A limit that ends during an advance counts until its end.
 func (w *world) refill() {
 	w.audit.fill(clock.Time(w.now))
 	w.audit.share = w.bound()
 	w.audit.fill(clock.Time(w.now))
 }
 
-// admit lets a VM take what it can.
+// admit sends a VM a random number of requests, until it refuses one.
 func (w *world) admit() {
 	v := w.pick("admits")
 	now := w.sync(v)
 	w.refill()
 	for range rapid.IntRange(1, 30).Draw(w.T, "requests") {
-		if !v.book.take(now) {
+		if !v.budget.take(now) {
 			return
 		}
 		w.audit.tokens--
@@ -297,14 +295,14 @@
 	w.check()
 }
 
-// drain lets every VM take all that it can at one instant.
+// drain makes every VM admit all that it can at one instant.
 func (w *world) drain() {
 	for _, v := range w.vms {
 		w.sync(v)
 	}
 	w.refill()
 	for _, v := range w.vms {
-		for now := w.sync(v); v.book.take(now); {
+		for now := w.sync(v); v.budget.take(now); {
 			w.audit.tokens--
 		}
 	}
@@ -312,62 +310,62 @@
 }
 
 func (w *world) check() {
-	if w.audit.tokens < -1e-6 && w.broken == "" {
-		w.broken = fmt.Sprintf("at %v: %g more admitted than burst + rate*t", w.now, -w.audit.tokens)
+	if w.audit.tokens < -1e-6 && w.violation == "" {
+		w.violation = fmt.Sprintf("at %v: %g more admitted than burst + rate*t", w.now, -w.audit.tokens)
 	}
 }
 
-// exchange is a request that is answered at once.
+// exchange sends a request and delivers its response at once.
 func (w *world) exchange() {
 	if m := w.send(); m != nil {
-		w.flight = w.flight[:len(w.flight)-1]
+		w.inFlight = w.inFlight[:len(w.inFlight)-1]
 		m.r = w.serve(m)
 		w.answer(m)
 	}
 }
 
-// send starts one of the three kinds of exchange between any two VMs. Any VM
-// may believe that it is the home.
+// send starts one of the three kinds of exchange between any two VMs. Any VM may take itself for
+// the home.
 func (w *world) send() *message {
 	from, to := w.pick("from"), w.pick("to")
 	if from == to {
 		return nil
 	}
 	now := w.sync(from)
-	kind := rapid.SampledFrom([]loanKind{collected, relent, tokensOnly}).Draw(w.T, "kind")
-	from.book.home = kind == collected
+	kind := rapid.SampledFrom([]loanKind{collectLoan, demandLoan, tokenLoan}).Draw(w.T, "kind")
+	from.budget.home = kind == collectLoan
 	var q *peerpb.AccountRequest
 	switch kind {
-	case collected:
-		from.book.home = rapid.IntRange(0, 4).Draw(w.T, "still home") > 0
-		q = from.book.collect(to.name, now)
-	case relent:
-		from.book.demand.smoothed = float64(rapid.SampledFrom([]int{0, 40, 600}).Draw(w.T, "demand"))
-		q = from.book.relend(to.name, now)
-	case tokensOnly:
-		from.book.roundTrip = time.Duration(rapid.SampledFrom([]int{0, 50, 400}).Draw(w.T, "round trip")) * time.Millisecond
-		from.book.waiting = rapid.IntRange(1, 9).Draw(w.T, "waiting")
-		q = from.book.ask(0, now)
-		from.book.asks, from.book.coming = 0, 0
+	case collectLoan:
+		from.budget.home = rapid.IntRange(0, 4).Draw(w.T, "still home") > 0
+		q = from.budget.collectRequest(to.name, now)
+	case demandLoan:
+		from.budget.demand.smoothed = float64(rapid.SampledFrom([]int{0, 40, 600}).Draw(w.T, "demand"))
+		q = from.budget.shareRequest(to.name, now)
+	case tokenLoan:
+		from.budget.roundTrip = time.Duration(rapid.SampledFrom([]int{0, 50, 400}).Draw(w.T, "round trip")) * time.Millisecond
+		from.budget.waiting = rapid.IntRange(1, 9).Draw(w.T, "waiting")
+		q = from.budget.tokenRequest(0, now)
+		from.budget.inFlight, from.budget.requested = 0, 0
 	}
 	if q == nil {
 		return nil
 	}
 	m := &message{kind: kind, from: from, to: to, q: q, sent: now}
-	w.flight = append(w.flight, m)
+	w.inFlight = append(w.inFlight, m)
 	return m
 }
 
-// deliver handles a message in flight: in any order, possibly late, lost or,
-// if it is a request, twice.
+// deliver delivers a message in flight. Messages may be reordered, delayed or lost, and requests
+// duplicated.
 func (w *world) deliver() {
-	if len(w.flight) == 0 {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.flight)-1).Draw(w.T, "message")
-	m := w.flight[i]
-	fate := rapid.SampledFrom([]string{"arrives", "arrives", "arrives", "twice", "lost"}).Draw(w.T, "fate")
-	w.flight = append(w.flight[:i], w.flight[i+1:]...)
+	i := rapid.IntRange(0, len(w.inFlight)-1).Draw(w.T, "message")
+	m := w.inFlight[i]
+	fate := rapid.SampledFrom([]string{"arrives", "arrives", "arrives", "twice", "lost"}).Draw(w.T, "delivery")
+	w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
 	if fate == "lost" {
 		return
 	}
@@ -376,15 +374,15 @@
 		return
 	}
 	if fate == "twice" {
-		w.serve(m) // The second answer goes nowhere: its caller has gone on.
+		w.serve(m) // The response to the duplicate is dropped: its caller has returned.
 	}
 	r := w.serve(m)
-	w.flight = append(w.flight, &message{kind: m.kind, from: m.from, to: m.to, q: m.q, r: r, sent: m.sent})
+	w.inFlight = append(w.inFlight, &message{kind: m.kind, from: m.from, to: m.to, q: m.q, r: r, sent: m.sent})
 }
 
 func (w *world) serve(m *message) *peerpb.AccountResponse {
 	now := w.sync(m.to)
-	b := m.to.book
+	b := m.to.budget
 	b.home = rapid.Bool().Draw(w.T, "lender is home")
 	tokens := b.tokens
 	r := b.serve(m.q, m.from.name, now)
@@ -403,33 +401,33 @@
 		sent = now
 	}
 	switch m.kind {
-	case tokensOnly:
-		m.from.book.asked(m.q, m.r, m.to.name, sent, now)
-		m.from.book.asks, m.from.book.coming = 0, 0
-	case collected:
-		m.from.book.collectedFrom(m.q, m.r, m.to.name, sent, now)
+	case tokenLoan:
+		m.from.budget.handleTokenResponse(m.q, m.r, m.to.name, sent, now)
+		m.from.budget.inFlight, m.from.budget.requested = 0, 0
+	case collectLoan:
+		m.from.budget.handleCollectResponse(m.q, m.r, m.to.name, sent, now)
 	default:
-		m.from.book.accept(m.kind, m.r, m.to.name, sent, now)
+		m.from.budget.applyResponse(m.kind, m.r, m.to.name, sent, now)
 	}
 }
 
-// run takes random steps until the property breaks.
+// run takes random steps until the property is violated.
 func (w *world) run() {
 	steps := []func(){
 		w.admit, w.drain, w.advance, w.advance, w.exchange, w.exchange, w.exchange, w.exchange, w.exchange,
 		func() { w.send() }, w.deliver, w.deliver, w.deliver, w.takeover, w.replace, w.configure,
 	}
-	// Slots and limits change in some runs only: loans grow old in the others.
+	// Slots and limits change in some runs only, so that loans live long in the others.
 	kinds := rapid.SampledFrom([]int{len(steps), len(steps) - 1, len(steps) - 2, len(steps) - 3}).Draw(w.T, "kinds")
 	for range worldSteps {
 		steps[rapid.IntRange(0, kinds-1).Draw(w.T, "step")]()
-		if w.broken != "" {
+		if w.violation != "" {
 			return
 		}
 	}
 }
 
-// TestMain raises rapid's number of checks; its flag still overrides it.
+// TestMain raises rapid's default number of checks; its flag still overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.checks", "2000"); err != nil {
 		panic(err)
@@ -437,33 +435,32 @@
 	os.Exit(m.Run())
 }
 
-// TestLimitHolds checks that in every window the fleet admits at most burst +
-// rate*t, through lost, late and repeated messages, drifting clocks, pauses,
-// slots and VMs that change hands, and limits that change at each VM in its
-// own time.
+// TestLimitHolds checks that in every window the fleet admits at most burst + rate*t, through lost,
+// late and duplicated messages, drifting clocks, pauses, changes of slots and VMs, and limits that
+// change at a different time on each VM.
 func TestLimitHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, intact)
+		w := newWorld(t, noMutation)
 		w.run()
-		if w.broken != "" {
-			t.Fatal(w.broken)
+		if w.violation != "" {
+			t.Fatal(w.violation)
 		}
 	})
 }
 
-// TestLimitNeedsEachMechanism shows that TestLimitHolds would fail without
-// any one of these mechanisms.
+// TestLimitNeedsEachMechanism checks that TestLimitHolds fails if any one of these mechanisms is
+// disabled.
 func TestLimitNeedsEachMechanism(t *testing.T) {
 	names := map[mutation]string{
-		lenderKeeps: "lender keeps using what it lent", countFromAnswer: "borrower counts from the answer",
-		fullOnTakeover: "full buckets after a takeover", noSettle: "no wait after a takeover",
-		lendsKept: "a slot that may be used at once was lent", fastClocks: "clocks drift beyond the margin",
+		lenderKeeps: "lender keeps using its loans", countFromAnswer: "borrower counts from the response",
+		fullOnTakeover: "full buckets after a takeover", noDrainWait: "no wait for loans after a takeover",
+		lendsKept: "kept slots are lent", fastClocks: "clocks drift beyond the margin",
 	}
 	for m, name := range names {
 		t.Run(name, func(t *testing.T) {
 			for seed := range 20000 {
-				if broken := runMutated(m, seed); broken != "" {
-					t.Logf("seed %d: %s", seed, broken)
+				if violation := runMutated(m, seed); violation != "" {
+					t.Logf("seed %d: %s", seed, violation)
 					return
 				}
 			}
@@ -477,6 +474,6 @@
 	return rapid.Custom(func(t *rapid.T) string {
 		w := newWorld(t, m)
 		w.run()
-		return w.broken
+		return w.violation
 	}).Example(seed)
 }
