--- a/pkg/retry/pools.go
+++ b/pkg/retry/pools.go
@@ -7,68 +7,68 @@
 	"crocusramp.dev/crocusramp/pkg/clock"
 )
 
-// The parts of a fleet's bound that its VMs earn during a window and may have saved up before
-// it. Their sums are less than 1: the rest is left for repeats that arrive later than they
-// were granted.
+// Fractions of the fleet's limit that its VMs earn during a window, and that they may have saved
+// before it. Each pair sums to less than 1: the rest is for retries that reach a target later than
+// they were granted.
 const (
 	earnedOfRatio, savedOfRatio = 0.8, 0.15
-	// A part of the floor is little where many VMs share it; half of it saved leaves each a
-	// whole repeat.
+	// Many VMs share the floor, so the part of each is small. Saving half of it leaves each VM a
+	// whole retry.
 	earnedOfFloor, savedOfFloor = 0.45, 0.5
 )
 
-// PoolLimit is the bound for the whole fleet: in any Window, at most
-// Ratio x requests + Floor repeats.
+// PoolLimit is the retry limit of the whole fleet: at most Ratio x requests + Floor retries in any
+// Window.
 type PoolLimit struct {
 	Ratio, Floor float64
 	Window       time.Duration
-	// VMs is how many VMs share Floor; 0 is unknown, and none of Floor is used.
+	// VMs is how many VMs share Floor. 0 means unknown, and nothing of Floor is used.
 	VMs int
 }
 
-// PoolBudget bounds the repeats to each pool, so that the fleet's stay within a PoolLimit
-// whichever VMs the requests come to and whenever processes start. It is a token bucket: what
-// all VMs earn in a window follows from the requests in it, and what they have saved up before
-// from the requests of the window before. It is safe for concurrent use.
+// PoolBudget limits the retries to each pool, so that the whole fleet stays within a PoolLimit
+// whichever VMs receive the requests and whenever processes start. It is a token bucket per pool:
+// what all VMs earn in a window is limited by the requests in that window, and what they have saved
+// by the requests in the window before. It is safe for concurrent use.
 type PoolBudget struct {
-	mu    sync.Mutex
-	idle  clock.Time
-	pools map[string]*bucket
+	mu        sync.Mutex
+	idleSince clock.Time
+	pools     map[string]*bucket
 }
 
-// NewPoolBudget returns the budget of a process. idleSince is since when no other process of
-// its VM has repeated a request: when this one started, or 0 where it is the VM's first.
+// NewPoolBudget returns the budget of a process. idleSince is the time since which no other process
+// of its VM has sent a retry: the start of this process, or 0 if it is the VM's first.
 func NewPoolBudget(idleSince clock.Time) *PoolBudget {
-	return &PoolBudget{idle: idleSince, pools: map[string]*bucket{}}
+	return &PoolBudget{idleSince: idleSince, pools: map[string]*bucket{}}
 }
 
-// Count records a request to a pool, not counting its repeats.
+// Count records a request to a pool. The request's retries are not counted.
 func (b *PoolBudget) Count(pool string, l PoolLimit, now clock.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := b.at(pool, l, now)
+	p := b.bucketAt(pool, l, now)
 	p.recent.add(now, l.Window)
 	p.earn(earnedOfRatio*l.Ratio, l)
 }
 
-// PoolUse is what a decision on a repeat was made from.
+// PoolUse is the result of Take with the values that it is based on.
 type PoolUse struct {
-	// Granted says that the repeat may be sent.
+	// Granted reports that the retry may be sent.
 	Granted bool
-	// Available is how many repeats this VM had left before the decision, and Capacity how
-	// many it can save up.
+	// Available is how many retries this VM had left before Take, and Capacity how many it can
+	// save.
 	Available, Capacity float64
-	// Requests is what this VM counted in the window before the decision.
+	// Requests is how many requests this VM counted in the window before Take.
 	Requests float64
 	// VMs is how many VMs share the fleet's floor.
 	VMs int
 }
 
-// Take uses up one repeat where one is left.
+// Take takes one retry from the pool's budget if one is left.
 func (b *PoolBudget) Take(pool string, l PoolLimit, now clock.Time) PoolUse {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := b.at(pool, l, now)
+	p := b.bucketAt(pool, l, now)
 	use := PoolUse{Granted: p.tokens >= 1, Available: p.tokens, Capacity: p.capacity(l), Requests: p.recent.sum, VMs: l.VMs}
 	if use.Granted {
 		p.tokens--
@@ -76,21 +76,22 @@
 	return use
 }
 
-// at returns the bucket of a pool with what time has earned it.
-func (b *PoolBudget) at(pool string, l PoolLimit, now clock.Time) *bucket {
+// bucketAt returns the bucket of a pool, including what it has earned from its part of the floor
+// until now.
+func (b *PoolBudget) bucketAt(pool string, l PoolLimit, now clock.Time) *bucket {
 	p := b.pools[pool]
 	if p == nil {
-		p = &bucket{at: b.idle}
+		p = &bucket{updated: b.idleSince}
 		b.pools[pool] = p
 	}
 	p.recent.advance(now, l.Window)
-	elapsed := now.Sub(p.at)
-	p.at = now
+	elapsed := now.Sub(p.updated)
+	p.updated = now
 	p.earn(earnedOfFloor*l.floorPart()*elapsed.Seconds()/max(l.Window, 1).Seconds(), l)
 	return p
 }
 
-// floorPart is a VM's part of the floor.
+// floorPart returns one VM's part of the floor.
 func (l PoolLimit) floorPart() float64 {
 	if l.VMs < 1 {
 		return 0
@@ -98,37 +99,37 @@
 	return l.Floor / float64(l.VMs)
 }
 
-// bucket holds the repeats that a VM may send to a pool.
+// bucket holds the retries that a VM may send to a pool.
 type bucket struct {
-	tokens float64
-	at     clock.Time
-	recent window
+	tokens  float64
+	updated clock.Time
+	recent  window
 }
 
 func (p *bucket) earn(tokens float64, l PoolLimit) {
 	p.tokens = min(p.tokens+tokens, p.capacity(l))
 }
 
-// capacity is how many repeats may be saved up.
+// capacity returns how many retries may be saved.
 func (p *bucket) capacity(l PoolLimit) float64 {
 	return savedOfRatio*l.Ratio*p.recent.sum + savedOfFloor*l.floorPart()
 }
 
-// windowSlices is how many slices a window is counted in.
+// windowSlices is the number of slices that a window is divided into.
 const windowSlices = 10
 
-// window counts what happened in the slice that runs and the nine before it, which is the
-// length of the window at most.
+// window counts events in the current slice and the nine before it, which together are at most as
+// long as the window.
 type window struct {
-	index  int64 // of the slice that runs
+	index  int64 // of the current slice
 	slices [windowSlices]float64
 	sum    float64
 }
 
-// advance drops what has left the window.
+// advance drops the slices that have left the window.
 func (w *window) advance(now clock.Time, length time.Duration) {
 	index := int64(now) / max(1, int64(length)/windowSlices)
-	if index-w.index >= windowSlices || index < w.index { // its length has changed
+	if index-w.index >= windowSlices || index < w.index { // the window's length has changed
 		*w = window{index: index}
 	}
 	for w.index < index {
@@ -139,7 +140,7 @@
 	}
 }
 
-// add counts one at now.
+// add counts one event at now.
 func (w *window) add(now clock.Time, length time.Duration) {
 	w.advance(now, length)
 	w.slices[w.index%windowSlices]++
--- a/pkg/retry/pools_test.go
+++ b/pkg/retry/pools_test.go
@@ -13,12 +13,12 @@
 
 const testPool = "pool"
 
-// budgetFleet is some VMs that share a budget, with the times of all requests and repeats.
+// budgetFleet simulates VMs that share a budget, and records the times of all requests and retries.
 type budgetFleet struct {
 	limit             retry.PoolLimit
 	vms               []*retry.PoolBudget
 	now               clock.Time
-	requests, repeats []clock.Time
+	requests, retries []clock.Time
 }
 
 func newBudgetFleet(vms int, limit retry.PoolLimit) *budgetFleet {
@@ -39,33 +39,33 @@
 	}
 }
 
-// serve spreads requests of a constant rate over the VMs; each is repeated until the budget
-// denies it, at most repeats times.
-func (f *budgetFleet) serve(lasts time.Duration, perSecond, repeats int, vms ...int) {
+// serve spreads requests at a constant rate over the VMs. It retries each until the budget denies
+// it, at most the given number of times.
+func (f *budgetFleet) serve(duration time.Duration, perSecond, retries int, vms ...int) {
 	pause := time.Second / time.Duration(perSecond)
-	for i, end := 0, f.now.Add(lasts); f.now.Before(end); i++ {
-		f.request(vms[i%len(vms)], repeats)
+	for i, end := 0, f.now.Add(duration); f.now.Before(end); i++ {
+		f.request(vms[i%len(vms)], retries)
 		f.now = f.now.Add(pause)
 	}
 }
 
-func (f *budgetFleet) request(vm, repeats int) {
+func (f *budgetFleet) request(vm, retries int) {
 	b := f.vms[vm]
 	b.Count(testPool, f.limit, f.now)
 	f.requests = append(f.requests, f.now)
-	for range repeats {
+	for range retries {
 		if !b.Take(testPool, f.limit, f.now).Granted {
 			return
 		}
-		f.repeats = append(f.repeats, f.now)
+		f.retries = append(f.retries, f.now)
 	}
 }
 
-// check reports a window with more repeats than the bound.
-func (f *budgetFleet) check() error { return retrytest.Check(f.limit, f.requests, f.repeats) }
+// check returns an error if a window has more retries than the limit allows.
+func (f *budgetFleet) check() error { return retrytest.Check(f.limit, f.requests, f.retries) }
 
-// TestRestartsKeepTheRetryBudget guards against processes that spend a window's repeats anew
-// after their predecessors have spent them.
+// TestRestartsKeepTheRetryBudget guards against processes that spend a window's retries again after
+// their predecessors have spent them.
 func TestRestartsKeepTheRetryBudget(t *testing.T) {
 	for _, restarts := range []int{1, 2, 4, 9} {
 		f := newBudgetFleet(11, retry.PoolLimit{Ratio: 0.2, Floor: 62, Window: 10 * time.Second})
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestChangedWindowForgets guards against requests that count for ever after the settings have
+// TestChangedWindowForgets guards against requests that are counted forever after the settings have
 // made the window longer.
 func TestChangedWindowForgets(t *testing.T) {
 	limit := retry.PoolLimit{Ratio: 0.2, Window: 10 * time.Second, VMs: 1}
@@ -96,8 +96,9 @@
 	}
 }
 
-// TestMovingCallersKeepTheRetryBudget guards against repeats that VMs grant on account of the
-// requests before their callers moved, while others grant some for the requests after it.
+// TestMovingCallersKeepTheRetryBudget guards against VMs that grant retries for the requests that
+// they received before their callers moved, while other VMs grant retries for the requests after
+// the move.
 func TestMovingCallersKeepTheRetryBudget(t *testing.T) {
 	f := newBudgetFleet(11, retry.PoolLimit{Ratio: 0.2, Floor: 62, Window: 10 * time.Second})
 	f.serve(15*time.Second, 900, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9)
@@ -108,8 +109,8 @@
 	}
 }
 
-// TestRetryBudgetOfAFleet: whatever the traffic, wherever it goes and whichever VMs restart, no
-// window has more repeats than the bound.
+// TestRetryBudgetOfAFleet checks that no window has more retries than the limit, whatever the
+// traffic is, whichever VMs receive it and whichever restart.
 func TestRetryBudgetOfAFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "VMs")
@@ -128,7 +129,7 @@
 			default:
 				vms := rapid.SliceOfN(rapid.IntRange(0, n-1), 1, 4).Draw(t, "VMs")
 				lasts := time.Duration(rapid.IntRange(1, 6000).Draw(t, "ms")) * time.Millisecond
-				f.serve(lasts, rapid.IntRange(1, 200).Draw(t, "per second"), rapid.IntRange(0, 3).Draw(t, "repeats"), vms...)
+				f.serve(lasts, rapid.IntRange(1, 200).Draw(t, "per second"), rapid.IntRange(0, 3).Draw(t, "retries"), vms...)
 			}
 		}
 		if err := f.check(); err != nil {
--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry decides whether a failed request is sent again, and bounds
-// retries to a part of the recent requests so that they cannot multiply the
-// load on targets that fail because they are overloaded.
+// Package retry decides whether a failed request is sent again. It limits retries to a fraction of
+// the recent requests, so that they can't multiply the load on targets that fail because they are
+// overloaded.
 package retry
 
 import (
@@ -16,7 +16,7 @@
 // Failure describes a failed attempt.
 type Failure struct {
 	Outcome outcome.Outcome
-	// Transient failures may not happen elsewhere.
+	// Transient reports that the request may succeed on another target.
 	Transient bool
 	// Shed reports that a target spent work on refusing the request.
 	Shed bool
@@ -25,12 +25,12 @@
 // Decision says whether a failed request may be sent again.
 type Decision struct {
 	Retry bool
-	// Charged retries need a place in the budget. Those after a failed
-	// connection cost targets nothing and need none.
+	// Charged reports that the retry counts against the budget. A retry after a failed connection
+	// costs targets nothing and doesn't count.
 	Charged bool
 }
 
-// Decide applies the mode of the request's route to a failure.
+// Decide decides on a retry according to the failure and the mode of the request's route.
 func Decide(mode config.Mode, f Failure) Decision {
 	if !f.Transient || f.Outcome == outcome.Done {
 		return Decision{}
@@ -53,24 +53,22 @@
 
 // Config holds a Budget's settings.
 type Config struct {
-	// Ratio is the part of the recent requests that may be retried.
-	// Default 0.1.
+	// Ratio is the fraction of the recent requests that may be retried. Default 0.1.
 	Ratio float64
-	// Floor is how many retries are allowed in a window however few requests
-	// there were. Default 5.
+	// Floor is how many retries a window allows however few requests there were. Default 5.
 	Floor float64
 	// Window is the time over which a count decays to 1/e. Default 10 s.
 	Window time.Duration
 }
 
-// Budget bounds retries. It is safe for concurrent use.
+// Budget limits retries. It is safe for concurrent use.
 type Budget struct {
 	config Config
 	mu     sync.Mutex
 	counts counts
 }
 
-// NewBudget returns a Budget with defaults in place of zero settings.
+// NewBudget returns a Budget. Zero settings get their defaults.
 func NewBudget(c Config) *Budget {
 	if c.Ratio == 0 {
 		c.Ratio = defaultRatio
@@ -92,7 +90,7 @@
 	b.counts.requests++
 }
 
-// Take uses up one retry, or reports false where none is left.
+// Take takes one retry from the budget. It returns false if none is left.
 func (b *Budget) Take(now clock.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestBudgetBoundsRetries checks over random runs that retries never pass the
-// floor of each started window plus the ratio of all requests.
+// TestBudgetBoundsRetries checks in random runs that the number of retries never exceeds the floor
+// of each started window plus the ratio of all requests.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(Config{})
