--- a/pkg/quarantine/codec/codec.go
+++ b/pkg/quarantine/codec/codec.go
@@ -1,4 +1,4 @@
-// Package codec translates what VMs tell each other of suspect requests and keep of them.
+// Package codec encodes and decodes suspect requests for messages between VMs and for storage.
 package codec
 
 import (
@@ -10,16 +10,16 @@
 )
 
 const (
-	// maxPrefixBytes bounds how much of a body a peer can make this VM read to judge it.
+	// maxPrefixBytes limits how much of a body a peer can make this VM read to assess a request.
 	maxPrefixBytes = 16 << 20
-	// maxAge bounds the age of a death: later ones are forgotten anyway.
+	// maxAge is the largest age of a death; older deaths are forgotten anyway.
 	maxAge = 24 * time.Hour
 )
 
-// errMalformed reports a suspect that can't be read.
+// errMalformed reports a malformed suspect.
 var errMalformed = errors.New("base and prefix_hash must be SHA-256 hashes, prefix_bytes in range, and deaths have an id and a target")
 
-// Encode returns what is told or kept of a case.
+// Encode returns the message for a case.
 func Encode(c quarantine.Case) *peerpb.Suspect {
 	out := &peerpb.Suspect{Base: c.Base[:], PrefixBytes: int32(c.PrefixBytes), PrefixHash: c.PrefixHash[:], Trials: int32(c.Trials), Convicted: c.Convicted}
 	for _, d := range c.Deaths {
@@ -28,7 +28,7 @@
 	return out
 }
 
-// Decode reads what was told or kept. It fails where any of it is malformed.
+// Decode returns the case in a message. It fails if any part of the message is malformed.
 func Decode(s *peerpb.Suspect) (quarantine.Case, error) {
 	c := quarantine.Case{Trials: max(int(s.GetTrials()), 0)}
 	c.Convicted = s.GetConvicted()
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -1,18 +1,17 @@
-// Package quarantine finds the requests that kill the targets that run them
-// and keeps them from being sent again.
+// Package quarantine finds the requests that crash the targets that run them, and keeps them from
+// being sent again.
 //
-// A target that dies takes all its running requests with it, and most of them
-// are innocent. So a first death only makes a request suspect. It counts again
-// if it was sent anew, after a death was known of it, and its target died too.
-// Such a death counts by half where another suspect died on the same target at
-// that time, and twice the score is needed while other targets die that the
-// request had nothing to do with, as when a region fails. A suspect that a
-// target answers is cleared: what kills targets kills each that runs it, while
-// a popular request is there whenever a target dies.
+// A target that dies takes all its running requests with it, and most of them are harmless. So a
+// first death only makes a request suspect. A further death counts if the request was sent again
+// after a death was known of it, and that target died too. Such a death counts by half if another
+// suspect died on the same target at that time. Twice the score is needed while other targets die
+// that the request was not sent to, as when a region fails. A suspect that a target answers is
+// cleared: a request that crashes targets crashes every one that runs it, whereas a popular request
+// merely happens to run on most targets that die.
 //
-// A request with which several targets died is on probation whatever its score:
-// it is sent only as a trial, one at a time in the whole fleet. A quarantine ends
-// with a trial, too, where trials are used.
+// A request with which several targets died is on probation whatever its score: it is sent only as
+// a trial, one at a time in the whole fleet. Where trials are used, a quarantine ends with a trial
+// as well.
 package quarantine
 
 import (
@@ -28,28 +27,28 @@
 	"crocusramp.dev/crocusramp/pkg/clock"
 )
 
-// Base is the hash of what is known of a request before its body is read:
-// account, route, method, URI and body length.
+// Base is the hash of what is known of a request before its body is read: account, route, method,
+// URI and body length.
 type Base [sha256.Size]byte
 
-// Fingerprint identifies the content of a request as far as it was read when
-// its target died.
+// Fingerprint identifies a request by its Base and the part of its body that had been read when its
+// target died.
 type Fingerprint struct {
 	Base Base
-	// PrefixBytes is how much of the body was read, PrefixHash its hash.
+	// PrefixBytes is how much of the body had been read, and PrefixHash is the hash of that prefix.
 	PrefixBytes int
 	PrefixHash  [sha256.Size]byte
 }
 
-// NewFingerprint returns the fingerprint of a request of which prefix was read.
+// NewFingerprint returns the fingerprint of a request whose body has been read up to prefix.
 func NewFingerprint(b Base, prefix []byte) Fingerprint {
 	return Fingerprint{Base: b, PrefixBytes: len(prefix), PrefixHash: sha256.Sum256(prefix)}
 }
 
-// shortBytes is the length of a fingerprint's name.
+// shortBytes is the length of a short fingerprint.
 const shortBytes = 16
 
-// short identifies a fingerprint in little space.
+// short is a compact identifier of a fingerprint.
 type short [shortBytes]byte
 
 func (f *Fingerprint) short() (s short) {
@@ -60,7 +59,7 @@
 	return s
 }
 
-// String names the fingerprint in logs and in the platform's store.
+// String returns the name of the fingerprint in logs and in the platform's store.
 func (f Fingerprint) String() string {
 	s := f.short()
 	return hex.EncodeToString(s[:])
@@ -77,53 +76,56 @@
 	Age time.Duration
 }
 
-// Case is what is known of a suspect.
+// Case is the state of a suspect.
 type Case struct {
 	Fingerprint
 	Deaths []Death
-	// Trials is how often it was sent on probation.
+	// Trials is how many trials of the request were sent.
 	Trials int
 	Judgement
 }
 
-// Judgement is what is known of a request.
+// Judgement is what the known deaths mean for a request.
 type Judgement struct {
-	// Deaths is how many targets died with it.
+	// Deaths is how many target deaths count against the request.
 	Deaths int
-	// Convicted says that the deaths quarantine it, now or before a trial.
+	// Convicted reports that the deaths are enough to quarantine the request, even if it is not
+	// quarantined at present because a trial is due.
 	Convicted bool
-	// Quarantined requests must not be sent.
+	// Quarantined reports that the request must not be sent.
 	Quarantined bool
-	// Probation says that the request may be sent only as a trial.
+	// Probation reports that the request may be sent only as a trial.
 	Probation bool
-	// RetryAfter is the time to the end of the quarantine.
+	// RetryAfter is the time until the quarantine ends.
 	RetryAfter time.Duration
 }
 
 const (
-	// threshold is the score at which a request is quarantined,
-	// massThreshold the one while unrelated targets die.
+	// threshold is the score at which a request is quarantined; during a mass failure it is
+	// massThreshold.
 	threshold     = 2.0
 	massThreshold = 4.0
-	// massDeaths is how many unrelated targets make up a mass failure.
+	// massDeaths is how many unrelated targets must die to make a mass failure.
 	massDeaths = 2
-	// sharedScore is what a death counts that another suspect may have caused.
+	// sharedScore is the score of a death that another suspect may have caused.
 	sharedScore = 0.5
-	// sharedWindow is how close two deaths on one target are the same event.
+	// sharedWindow is the largest time between two deaths of one target that count as the same
+	// event.
 	sharedWindow = 5 * time.Second
-	// massWindow is how long a death of a target counts towards a mass failure.
+	// massWindow is the largest time between a suspect's last death and the deaths of other targets
+	// that count towards a mass failure.
 	massWindow = 30 * time.Second
-	// maxDeaths bounds what is kept of one fingerprint, maxVariants the
-	// fingerprints with one base.
+	// maxDeaths is the largest number of deaths kept of one fingerprint, maxVariants the largest
+	// number of fingerprints with one base.
 	maxDeaths   = 8
 	maxVariants = 8
-	// knownDeaths is how many targets die with a request before all VMs and later processes must
-	// know of it.
-	knownDeaths = 2
-	// probationDeaths is how many targets die with a request before it is sent only on trial.
-	// The platform's rules count the retries that come after as many.
+	// sharedDeaths is how many targets must die with a request before all VMs and later processes
+	// must know of it.
+	sharedDeaths = 2
+	// probationDeaths is how many targets must die with a request before it is sent only as a
+	// trial. The platform's rules count the retries after this number of deaths.
 	probationDeaths = 3
-	// maxEvents bounds the list of the latest deaths of any target.
+	// maxEvents is the largest number of recent target deaths kept.
 	maxEvents = 64
 )
 
@@ -136,37 +138,36 @@
 
 // Config holds a List's settings.
 type Config struct {
-	// Size is how many bases are remembered; the longest unused is forgotten.
-	// Default 1024, at most about 8 KiB each.
+	// Size is the largest number of bases remembered, at about 8 KiB each at most; the least
+	// recently used one is dropped. Default 1024.
 	Size int
-	// Duration is how long a request is quarantined after its last death.
-	// Default 10 min.
+	// Duration is how long a request is quarantined after its last death. Default 10 min.
 	Duration time.Duration
-	// Memory is how long a suspect is remembered after its last death. One
-	// that was quarantined and kills again is quarantined at once. Default 1 h.
+	// Memory is how long a suspect is remembered after its last death. A remembered suspect that
+	// was quarantined before is quarantined again at its next death. Default 1 h.
 	Memory time.Duration
-	// MaxTrials is how often a request is tried that was quarantined or is on
-	// probation; after the last trial it is quarantined for as long as it is
-	// remembered. Default 0: there are no trials, and a request is free after Duration.
+	// MaxTrials is the largest number of trials of a request that was quarantined or is on
+	// probation. After the last trial the request is quarantined for as long as it is remembered.
+	// Default 0: there are no trials, and a request is free after Duration.
 	MaxTrials int
-	// Backoff is the factor by which each trial prolongs Duration. Default 1.
+	// Backoff is the factor by which each trial lengthens Duration. Default 1.
 	Backoff int
-	// Answered is how many answered requests are remembered, for 15 to 30 s; the first
-	// death after an answer does not make a request suspect. Default 0, about 50 B each.
+	// Answered is how many answered requests are remembered, for 15 to 30 s, at about 50 B each.
+	// The first death after an answer does not make a request suspect. Default 0.
 	Answered int
 	Clock    clock.Clock
 }
 
-// List holds the suspects. It is safe for concurrent use.
+// List holds the suspect requests. It is safe for concurrent use.
 type List struct {
 	config Config
 	mu     sync.Mutex
 	state  *state
-	// used is set once anything is suspect.
+	// used is set once any death has been noted.
 	used atomic.Bool
 }
 
-// NewList returns a List with defaults in place of zero settings.
+// NewList returns a List. Zero settings get their defaults.
 func NewList(c Config) *List {
 	if c.Size == 0 {
 		c.Size = defaultSize
@@ -190,11 +191,11 @@
 	return &List{config: c, state: &state{suspects: suspects, answered: answered{capacity: c.Answered}}}
 }
 
-// Empty reports whether nothing was ever suspect, without a lock.
+// Empty reports whether no request was ever suspect. It takes no lock.
 func (l *List) Empty() bool { return !l.used.Load() }
 
-// Prefix returns how much of a body has to be read to judge a request, and
-// false where nothing is known of its base.
+// Prefix returns how much of a body must be read to assess a request. known is false if there is no
+// suspect with this base.
 func (l *List) Prefix(b Base) (n int, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -206,22 +207,21 @@
 	return n, known
 }
 
-// Judge tells what is known of a request whose body begins with prefix.
+// Judge returns what is known of a request whose body begins with prefix.
 func (l *List) Judge(b Base, prefix []byte) Judgement {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.state.judge(b, prefix, l.config.Clock.Now(), &l.config)
+	return l.state.assess(b, prefix, l.config.Clock.Now(), &l.config)
 }
 
-// Clear ends the suspicion of a request that a target has answered. The deaths that are known of
-// it do not count again.
+// Clear clears a suspect that a target has answered. The deaths known so far do not count again.
 func (l *List) Clear(b Base, prefix []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state.clear(func(v *suspect) bool { return v.fingerprint.Base == b && v.matches(prefix) }, b)
 }
 
-// Answered notes that a target answered a request. It reports whether the request was suspect.
+// Answered records that a target answered a request. It reports whether the request was suspect.
 func (l *List) Answered(f Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -229,8 +229,8 @@
 	return l.state.clear(func(v *suspect) bool { return v.fingerprint == f }, f.Base)
 }
 
-// Note records that a target died while it ran the request. It reports whether
-// the death was not known before and makes the request suspect.
+// Note records that a target died while it ran the request. It reports whether the death was
+// unknown and makes the request suspect.
 func (l *List) Note(f Fingerprint, d Death) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -246,7 +246,7 @@
 	return true
 }
 
-// Find returns the case of a fingerprint; ok is false where it is not suspect.
+// Find returns the case of a fingerprint; ok is false if it is not suspect.
 func (l *List) Find(f Fingerprint) (c Case, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -256,8 +256,8 @@
 	return c, c.Judgement.Deaths > 0
 }
 
-// Restore takes in a case that was kept outside the processes; its deaths count as of now. A
-// request that this List has cleared stays so.
+// Restore adds a case that was stored outside the process; its deaths count from now. A request
+// that this List has cleared stays cleared.
 func (l *List) Restore(c Case) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -268,28 +268,29 @@
 		l.state.note(c.Fingerprint, d, now, l.config.Memory)
 	}
 	if v := l.state.find(c.Fingerprint); v != nil && !v.cleared() {
-		v.convicted = v.convicted || c.Convicted || c.Trials > 0
-		v.tried(c.Trials, now)
+		v.confirmed = v.confirmed || c.Convicted || c.Trials > 0
+		v.recordTrials(c.Trials, now)
 	}
 }
 
-// Tried notes that a request has been tried so many times; the last trial is new.
+// Tried records that a total of trials of a request have been sent. If that is more than known, the
+// last trial counts from now.
 func (l *List) Tried(f Fingerprint, trials int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if v := l.state.find(f); v != nil {
-		v.tried(trials, l.config.Clock.Now())
+		v.recordTrials(trials, l.config.Clock.Now())
 	}
 }
 
-// KeptBack reports whether the request is not sent as others are.
+// KeptBack reports whether the request is quarantined or on probation.
 func (j Judgement) KeptBack() bool { return j.Quarantined || j.Probation }
 
 // Known reports whether all VMs and later processes must know of the case.
-func (c *Case) Known() bool { return c.KeptBack() || len(c.Deaths) >= knownDeaths }
+func (c *Case) Known() bool { return c.KeptBack() || len(c.Deaths) >= sharedDeaths }
 
-// Cases returns the cases that all VMs must know, and those whose latest death is younger than
-// maxAge; those with the latest deaths first.
+// Cases returns the cases that all VMs must know of and those whose latest death is younger than
+// maxAge, sorted by the latest death, the most recent first.
 func (l *List) Cases(maxAge time.Duration) []Case {
 	if l.Empty() {
 		return nil
@@ -309,7 +310,7 @@
 	return out
 }
 
-// age is that of the latest death.
+// age returns the age of the latest death.
 func (c *Case) age() time.Duration {
 	youngest := c.Deaths[0].Age
 	for _, d := range c.Deaths {
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -12,11 +12,11 @@
 
 func base(i int) Base { return Base{byte(i), byte(i >> 8)} }
 
-// fleet plays requests on targets that die when they run the poison.
+// fleet simulates targets that die while they run requests.
 type fleet struct {
-	clock *clock.Fake
-	list  *List
-	next  int
+	clock  *clock.Fake
+	list   *List
+	deaths int
 }
 
 func newFleet() *fleet {
@@ -24,12 +24,12 @@
 	return &fleet{clock: c, list: NewList(Config{Clock: c})}
 }
 
-// dies notes the death of a target with the requests that it ran, each with
-// the deaths that were known when it was sent.
+// dies records the death of a target with the requests that it ran. prior maps each request to the
+// number of deaths that were known when it was sent.
 func (f *fleet) dies(target string, prior map[int]int) {
-	f.next++
+	f.deaths++
 	for i, n := range prior {
-		f.list.Note(NewFingerprint(base(i), nil), Death{ID: fmt.Sprintf("%s@%d", target, f.next), Target: target, Prior: n})
+		f.list.Note(NewFingerprint(base(i), nil), Death{ID: fmt.Sprintf("%s@%d", target, f.deaths), Target: target, Prior: n})
 	}
 	f.clock.Advance(100 * time.Millisecond)
 }
@@ -46,15 +46,15 @@
 	}
 	f.dies("t2", map[int]int{1: 1, 4: 0})
 	if !f.quarantined(1) || f.quarantined(2) || f.quarantined(4) {
-		t.Error("not just the request that both targets ran")
+		t.Error("want only the request that both targets ran quarantined")
 	}
 	f.clock.Advance(defaultDuration)
 	if f.quarantined(1) {
-		t.Error("still quarantined after its time")
+		t.Error("still quarantined after the quarantine's duration")
 	}
 	f.dies("t3", map[int]int{1: 2})
 	if !f.quarantined(1) {
-		t.Error("free after it killed again")
+		t.Error("not quarantined after another death")
 	}
 	f.clock.Advance(defaultMemory + time.Second)
 	if j := f.list.Judge(base(1), nil); j.Deaths != 0 {
@@ -62,28 +62,28 @@
 	}
 }
 
-func TestSuspectsOnOneTargetNeedMore(t *testing.T) {
+func TestSuspectsOnOneTargetNeedMoreDeaths(t *testing.T) {
 	f := newFleet()
 	f.dies("t1", map[int]int{1: 0, 2: 0})
 	f.dies("t2", map[int]int{1: 1, 2: 1})
 	if f.quarantined(1) || f.quarantined(2) {
-		t.Error("quarantined although either may have been the cause")
+		t.Error("quarantined although either request may have been the cause")
 	}
 	f.dies("t3", map[int]int{1: 2})
 	if !f.quarantined(1) || f.quarantined(2) {
-		t.Error("the third death does not tell them apart")
+		t.Error("want only the request of the third death quarantined")
 	}
 }
 
-// TestRegionFailureQuarantinesNothing has all targets of a region die while
-// they run the same popular request and its retries.
+// TestRegionFailureQuarantinesNothing checks that nothing is quarantined when all targets of a
+// region die while they run the same popular request and retries of others.
 func TestRegionFailureQuarantinesNothing(t *testing.T) {
 	f := newFleet()
 	for i := range 10 {
 		f.dies(fmt.Sprintf("t%d", i), map[int]int{1: 0, 10 + i: 0})
 	}
 	if f.quarantined(1) {
-		t.Error("a request that ran on all targets before the first died")
+		t.Error("quarantined a request that ran on all targets before the first died")
 	}
 	f = newFleet()
 	for i := range 10 {
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestReportHeardTwiceCountsOnce(t *testing.T) {
+func TestRepeatedReportCountsOnce(t *testing.T) {
 	f := newFleet()
 	d := Death{ID: "t1@1", Target: "t1"}
 	print := NewFingerprint(base(1), []byte("body"))
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestReportsInAnyOrder hears of a second death before the first, or only of
-// the second.
+// TestReportsInAnyOrder checks that a request is quarantined if the second death is reported before
+// the first, or only the second is reported.
 func TestReportsInAnyOrder(t *testing.T) {
 	first, second := Death{ID: "t1@1", Target: "t1"}, Death{ID: "t2@1", Target: "t2", Prior: 1}
 	for _, deaths := range [][]Death{{first, second}, {second, first}, {second}} {
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestBodiesTellRequestsApart(t *testing.T) {
+func TestBodyDistinguishesRequests(t *testing.T) {
 	f := newFleet()
 	for i := range 2 {
 		f.list.Note(NewFingerprint(base(1), []byte("poison")), Death{ID: fmt.Sprint(i), Target: fmt.Sprint(i), Prior: i})
@@ -132,7 +132,7 @@
 		t.Errorf("prefix %d %v", n, known)
 	}
 	if !f.list.Judge(base(1), []byte("poison and more")).Quarantined {
-		t.Error("the same beginning is free")
+		t.Error("a body with the same prefix is not quarantined")
 	}
 	for _, body := range []string{"", "pois", "harmless"} {
 		if j := f.list.Judge(base(1), []byte(body)); j.Deaths != 0 {
@@ -175,29 +175,29 @@
 	}
 }
 
-// TestPopularRequestIsCleared has a popular request run on each target that a
-// poison kills, and be answered by others in between.
+// TestPopularRequestIsCleared checks that a popular request is not quarantined although it runs on
+// every target that another request crashes, as other targets answer it in between.
 func TestPopularRequestIsCleared(t *testing.T) {
 	f := newFleet()
-	const popular, poison = 1, 2
+	const popular, crashing = 1, 2
 	for i := range 4 {
-		f.dies(fmt.Sprintf("t%d", i), map[int]int{popular: f.list.Judge(base(popular), nil).Deaths, poison: min(i, 1)})
+		f.dies(fmt.Sprintf("t%d", i), map[int]int{popular: f.list.Judge(base(popular), nil).Deaths, crashing: min(i, 1)})
 		f.list.Clear(base(popular), nil)
 	}
-	if f.quarantined(popular) || !f.quarantined(poison) {
-		t.Error("the popular request is taken for the poison")
+	if f.quarantined(popular) || !f.quarantined(crashing) {
+		t.Error("want only the crashing request quarantined")
 	}
 }
 
-// withTrials returns a fleet whose quarantine ends with trials.
+// withTrials returns a fleet whose quarantines end with trials.
 func withTrials() *fleet {
 	f := newFleet()
 	f.list = NewList(Config{Clock: f.clock, Duration: 10 * time.Second, MaxTrials: 2, Backoff: 6, Answered: 64})
 	return f
 }
 
-// TestThirdDeathIsOnProbation has a request crash three targets while others die, too: it must not
-// be sent as before.
+// TestThirdDeathIsOnProbation checks that a request that crashes three targets is restricted even
+// while other targets die too.
 func TestThirdDeathIsOnProbation(t *testing.T) {
 	f := withTrials()
 	for i := range 3 {
@@ -214,7 +214,7 @@
 	}
 }
 
-// TestTrials has a quarantine end with a trial, and be longer after each.
+// TestTrials checks that a quarantine ends with a trial and lasts longer after each trial.
 func TestTrials(t *testing.T) {
 	f := withTrials()
 	f.dies("t1", map[int]int{1: 0})
@@ -244,7 +244,8 @@
 	}
 }
 
-// TestAnswerEndsTheSuspicion guards against a suspicion that the reports of other VMs bring back.
+// TestAnswerEndsTheSuspicion guards against reports of other VMs that make a request suspect again
+// after a target has answered it.
 func TestAnswerEndsTheSuspicion(t *testing.T) {
 	f := withTrials()
 	f.dies("t1", map[int]int{1: 0})
@@ -255,7 +256,7 @@
 		t.Fatalf("%+v", c)
 	}
 	if !f.list.Answered(p) || f.list.Answered(p) {
-		t.Error("not suspect once")
+		t.Error("want the first answer, and only it, to report a suspect")
 	}
 	for _, d := range c.Deaths {
 		f.list.Note(p, d)
@@ -267,32 +268,32 @@
 	other := withTrials()
 	other.list.Restore(c)
 	if j := other.list.Judge(base(1), nil); !j.Quarantined {
-		t.Errorf("another process knows %+v", j)
+		t.Errorf("another process: %+v", j)
 	}
 }
 
-// TestAnAnswerExcusesOneDeath has a request that was answered die with targets.
+// TestAnAnswerExcusesOneDeath checks that only the first death after a recent answer is excused.
 func TestAnAnswerExcusesOneDeath(t *testing.T) {
 	f := withTrials()
 	p := NewFingerprint(base(1), nil)
 	f.list.Answered(p)
 	if f.list.Note(p, Death{ID: "t1@1", Target: "t1"}) {
-		t.Error("suspect by the first death after an answer")
+		t.Error("the first death after an answer made it suspect")
 	}
 	if f.list.Note(p, Death{ID: "t1@1", Target: "t1"}) {
-		t.Error("suspect by a report heard twice")
+		t.Error("a repeated report made it suspect")
 	}
 	if !f.list.Note(p, Death{ID: "t2@1", Target: "t2"}) {
-		t.Error("not suspect by the second")
+		t.Error("the second death did not make it suspect")
 	}
 	f.list.Answered(p)
 	f.clock.Advance(3 * answeredPeriod)
 	if !f.list.Note(p, Death{ID: "t3@1", Target: "t3"}) {
-		t.Error("an old answer excuses a death")
+		t.Error("an expired answer excused a death")
 	}
 }
 
-// BenchmarkAnswered is what each answered request costs.
+// BenchmarkAnswered measures the cost of each answered request.
 func BenchmarkAnswered(b *testing.B) {
 	l := NewList(Config{Answered: 4096})
 	body := make([]byte, 300)
@@ -303,7 +304,8 @@
 	}
 }
 
-// BenchmarkCases is what is done four times a second while there are suspects, all of them innocent.
+// BenchmarkCases measures what runs four times a second while there are suspects, all of them
+// harmless.
 func BenchmarkCases(b *testing.B) {
 	l := NewList(Config{MaxTrials: 2, Size: 256})
 	for i := range 256 {
@@ -315,7 +317,7 @@
 	}
 }
 
-// BenchmarkJudge is what each request costs while others are suspect.
+// BenchmarkJudge measures the cost of each request while others are suspect.
 func BenchmarkJudge(b *testing.B) {
 	l := NewList(Config{MaxTrials: 2})
 	for i := range 64 {
--- a/pkg/quarantine/state.go
+++ b/pkg/quarantine/state.go
@@ -10,10 +10,10 @@
 	"crocusramp.dev/crocusramp/pkg/clock"
 )
 
-// state is the pure part of a List: its methods take the time and do no I/O.
+// state implements a List. Its methods take the time as a parameter and do no I/O.
 type state struct {
 	suspects *lru.Cache[Base, []*suspect]
-	// events are the latest deaths of targets, the oldest first.
+	// events are the most recent deaths of targets, the oldest first.
 	events   []event
 	answered answered
 }
@@ -21,29 +21,30 @@
 // suspect is a request that was running when a target died.
 type suspect struct {
 	fingerprint Fingerprint
-	deaths      []seen
-	// convicted says that it was quarantined by what another process knew.
-	convicted bool
+	deaths      []datedDeath
+	// confirmed reports that another process had enough deaths to quarantine it.
+	confirmed bool
 	trials    int
-	triedAt   clock.Time // of the last trial, where there was one
+	lastTrial clock.Time // time of the last trial, if any
 }
 
-// tried notes that the suspect has been tried so many times.
-func (v *suspect) tried(trials int, now clock.Time) {
+// recordTrials records that a total of trials of the suspect have been sent.
+func (v *suspect) recordTrials(trials int, now clock.Time) {
 	if trials > v.trials {
-		v.trials, v.triedAt = trials, now
+		v.trials, v.lastTrial = trials, now
 	}
 }
 
-// seen is a death and when it happened.
-type seen struct {
+// datedDeath is a death and when it happened.
+type datedDeath struct {
 	Death
 	at clock.Time
-	// cleared deaths do not count any more.
+	// cleared reports that the death does not count any more.
 	cleared bool
 }
 
-// targets is how many targets died with the suspect.
+// targets returns how many targets died with the suspect. Below probationDeaths it returns the
+// number of deaths, which is enough for the comparison.
 func (v *suspect) targets() int {
 	if len(v.deaths) < probationDeaths {
 		return len(v.deaths)
@@ -57,19 +58,19 @@
 	return len(targets)
 }
 
-// last is the death that was noted last.
-func (v *suspect) last() *seen { return &v.deaths[len(v.deaths)-1] }
+// last returns the death that was recorded last.
+func (v *suspect) last() *datedDeath { return &v.deaths[len(v.deaths)-1] }
 
-// cleared reports whether no death speaks against the suspect.
+// cleared reports whether no death counts against the suspect.
 func (v *suspect) cleared() bool {
-	return !slices.ContainsFunc(v.deaths, func(d seen) bool { return !d.cleared })
+	return !slices.ContainsFunc(v.deaths, func(d datedDeath) bool { return !d.cleared })
 }
 
-// event is the death of a target together with a request that it ran.
+// event is the death of a target and one of the requests that it ran.
 type event struct {
 	target string
 	at     clock.Time
-	// again reports that the request had been sent as a suspect.
+	// again reports that the request was already suspect when it was sent.
 	again       bool
 	fingerprint Fingerprint
 }
@@ -89,14 +90,15 @@
 	return nil
 }
 
-// judge returns the worst of what is known of the fingerprints that match.
-func (s *state) judge(b Base, prefix []byte, now clock.Time, c *Config) Judgement {
+// assess combines what is known of all suspects that match the request, and returns the most severe
+// values.
+func (s *state) assess(b Base, prefix []byte, now clock.Time, c *Config) Judgement {
 	var worst Judgement
 	for _, v := range s.variants(b) {
 		if !v.matches(prefix) {
 			continue
 		}
-		j := s.judgeSuspect(v, now, c)
+		j := s.assessSuspect(v, now, c)
 		worst.Deaths = max(worst.Deaths, j.Deaths)
 		worst.Quarantined = worst.Quarantined || j.Quarantined
 		worst.Probation = worst.Probation || j.Probation
@@ -111,15 +113,14 @@
 	return n <= len(prefix) && sha256.Sum256(prefix[:n]) == v.fingerprint.PrefixHash
 }
 
-// clear ends the suspicion of the suspects with a base that match. It reports whether there were
-// any.
+// clear clears the suspects with this base that match. It reports whether there were any.
 func (s *state) clear(matches func(*suspect) bool, b Base) (found bool) {
 	for _, v := range s.variants(b) {
 		if v.cleared() || !matches(v) {
 			continue
 		}
 		found = true
-		v.trials, v.convicted = 0, false
+		v.trials, v.confirmed = 0, false
 		for i := range v.deaths {
 			v.deaths[i].cleared = true
 		}
@@ -127,7 +128,7 @@
 	return found
 }
 
-func (s *state) judgeSuspect(v *suspect, now clock.Time, c *Config) Judgement {
+func (s *state) assessSuspect(v *suspect, now clock.Time, c *Config) Judgement {
 	var last clock.Time
 	j := Judgement{}
 	for _, d := range v.deaths {
@@ -139,41 +140,41 @@
 	if j.Deaths == 0 || now.Sub(last) > c.Memory {
 		return Judgement{}
 	}
-	j.Convicted = s.convicts(v, last)
-	doubtful := c.MaxTrials > 0 && (j.Convicted || v.targets() >= probationDeaths)
-	hold := c.Duration
+	j.Convicted = s.confirms(v, last)
+	trialRequired := c.MaxTrials > 0 && (j.Convicted || v.targets() >= probationDeaths)
+	duration := c.Duration
 	if v.trials > 0 {
-		last = max(last, v.triedAt)
+		last = max(last, v.lastTrial)
 		for range v.trials {
-			hold *= time.Duration(c.Backoff)
+			duration *= time.Duration(c.Backoff)
 		}
 	}
 	if c.MaxTrials > 0 && v.trials >= c.MaxTrials {
-		hold = c.Memory
+		duration = c.Memory
 	}
-	left := last.Add(hold).Sub(now)
+	left := last.Add(duration).Sub(now)
 	switch {
-	case left > 0 && (j.Convicted || (doubtful && v.trials > 0)):
+	case left > 0 && (j.Convicted || (trialRequired && v.trials > 0)):
 		j.Quarantined, j.RetryAfter = true, left
-	case doubtful:
+	case trialRequired:
 		j.Probation = true
 	}
 	return j
 }
 
-// convicts reports whether the deaths up to the last one quarantine a suspect.
-func (s *state) convicts(v *suspect, last clock.Time) bool {
-	if v.convicted {
+// confirms reports whether the deaths up to the last one are enough to quarantine a suspect.
+func (s *state) confirms(v *suspect, last clock.Time) bool {
+	if v.confirmed {
 		return true
 	}
 	score := s.score(v)
-	return score >= threshold && score >= s.needed(v, last) // most are far from the threshold
+	return score >= threshold && score >= s.requiredScore(v, last) // the first comparison is cheap and settles most cases
 }
 
-// describe returns what is known of a suspect.
+// describe returns the case of a suspect.
 func (s *state) describe(v *suspect, now clock.Time, c *Config) Case {
-	out := Case{Fingerprint: v.fingerprint, Trials: v.trials, Judgement: s.judgeSuspect(v, now, c)}
-	if out.Judgement.Deaths == 0 { // cleared or forgotten
+	out := Case{Fingerprint: v.fingerprint, Trials: v.trials, Judgement: s.assessSuspect(v, now, c)}
+	if out.Judgement.Deaths == 0 { // cleared or expired
 		return out
 	}
 	for _, d := range v.deaths {
@@ -185,16 +186,15 @@
 	return out
 }
 
-// score adds up the deaths that speak against the suspect. Reports may arrive
-// in any order or not at all, so the first death counts also where only later
-// ones are known.
+// score sums the deaths that count against the suspect. Reports may arrive in any order or not at
+// all, so the first death counts 1 even if only later ones are known.
 func (s *state) score(v *suspect) float64 {
 	score := 1.0
 	for _, d := range v.deaths {
 		switch {
 		case d.cleared:
 		case d.Prior == 0:
-			// It was running already when its first target died.
+			// The request was already running when its first target died.
 		case s.shared(v, d):
 			score += sharedScore
 		default:
@@ -204,9 +204,9 @@
 	return score
 }
 
-// shared reports whether another suspect was sent to the same target and died
-// there at that time.
-func (s *state) shared(v *suspect, d seen) bool {
+// shared reports whether another suspect was sent to the same target and was running when it died
+// at that time.
+func (s *state) shared(v *suspect, d datedDeath) bool {
 	for _, e := range s.events {
 		if e.again && e.target == d.Target && within(e.at, d.at, sharedWindow) && e.fingerprint != v.fingerprint {
 			return true
@@ -215,8 +215,8 @@
 	return false
 }
 
-// needed is the score that quarantines the suspect.
-func (s *state) needed(v *suspect, at clock.Time) float64 {
+// requiredScore returns the score at which the suspect is quarantined.
+func (s *state) requiredScore(v *suspect, at clock.Time) float64 {
 	unrelated := map[string]bool{}
 	for _, e := range s.events {
 		if within(e.at, at, massWindow) {
@@ -247,7 +247,7 @@
 		i = len(variants) - 1
 	}
 	v := variants[i]
-	if slices.ContainsFunc(v.deaths, func(k seen) bool { return k.ID == d.ID }) {
+	if slices.ContainsFunc(v.deaths, func(k datedDeath) bool { return k.ID == d.ID }) {
 		return false
 	}
 	at := now.Add(-d.Age)
@@ -255,9 +255,9 @@
 		return false
 	}
 	if n := len(v.deaths); n > 0 && now.Sub(v.deaths[n-1].at) > memory {
-		v.deaths, v.trials, v.convicted = nil, 0, false
+		v.deaths, v.trials, v.confirmed = nil, 0, false
 	}
-	v.deaths = append(v.deaths, seen{Death: d, at: at})
+	v.deaths = append(v.deaths, datedDeath{Death: d, at: at})
 	if len(v.deaths) > maxDeaths {
 		v.deaths = v.deaths[1:]
 	}
