--- a/pkg/deathreport/deathreport.go
+++ b/pkg/deathreport/deathreport.go
@@ -1,5 +1,5 @@
-// Package deathreport tells the VMs of a fleet of targets that died while they ran requests, so that
-// all of them know which requests crash targets.
+// Package deathreport reports target deaths to the other VMs of the fleet, with the requests that
+// the targets ran, so that all VMs know which requests crash targets.
 package deathreport
 
 import (
@@ -20,33 +20,34 @@
 )
 
 const (
-	// sendTimeout bounds one report.
+	// sendTimeout is the timeout of one report to all peers.
 	sendTimeout = 2 * time.Second
-	// sendConcurrency bounds the reports under way to peers.
+	// sendConcurrency limits the concurrent calls of one report.
 	sendConcurrency = 16
-	// minGatherTime is the least time for which reports are gathered: the requests of one target
-	// fail together. gatherPerPeer prolongs it in large fleets, where many targets may die at
-	// once and each report is a call to every peer. Both are short against the time in which
-	// callers come back.
-	minGatherTime = 10 * time.Millisecond
-	gatherPerPeer = time.Millisecond
-	// maxPending bounds what one report holds. The heartbeats make up for the rest.
+	// minBatchDelay is the shortest delay for which deaths are batched, since the requests of one
+	// target fail together. batchDelayPerPeer lengthens it in large fleets, where many targets may
+	// die at once and each report is a call to every peer. Both are short compared with the time
+	// after which callers retry.
+	minBatchDelay     = 10 * time.Millisecond
+	batchDelayPerPeer = time.Millisecond
+	// maxPending is the largest number of deaths in one report. Peers learn of the others by
+	// heartbeats.
 	maxPending = 64
 )
 
-// Config sets up a Service.
+// Config holds the settings and dependencies of a Service.
 type Config struct {
 	List    *quarantine.List
 	Members member.Source
-	// Peers reaches other VMs; nil where there are none.
+	// Peers connects to other VMs; nil if there are none.
 	Peers *peer.Dialer
 	Log   zerolog.Logger
-	// PathPrefix is the path below which peers serve the service, twirp's own if empty.
+	// PathPrefix is the path under which peers serve the service. Default: twirp's own prefix.
 	PathPrefix string
 }
 
-// Service reports the deaths that this VM saw and takes in those that others did. It implements the
-// Request service of the peer protocol.
+// Service reports the deaths that this VM observed and records those that other VMs observed. It
+// implements the Request service of the peer protocol.
 type Service struct {
 	cfg Config
 
@@ -63,16 +64,16 @@
 	return &Service{cfg: c}
 }
 
-// Handler returns the path prefix and handler of the service.
+// Handler returns the path prefix and the handler of the service.
 func (s *Service) Handler() (string, http.Handler) {
 	server := peerpb.NewRequestServer(s, twirp.WithServerPathPrefix(s.cfg.PathPrefix))
 	return server.PathPrefix(), server
 }
 
-// Report notes a death that this VM saw, and tells the peers in the background, each once: one that
-// leaves or was silent for a while may send requests, too. One that is not reached learns it by
-// heartbeats or when the request kills a target there. It reports
-// whether the death makes the request suspect.
+// Report records a death that this VM observed and reports it once to each peer in the background.
+// Leaving and silent peers are included, as they may still send requests. A peer that the report
+// does not reach learns of the death by heartbeats, or when the request crashes a target there.
+// Report returns whether the death makes the request suspect.
 func (s *Service) Report(f quarantine.Fingerprint, d quarantine.Death) bool {
 	if !s.cfg.List.Note(f, d) {
 		return false
@@ -83,19 +84,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.pending) >= maxPending {
-		s.cfg.Log.Warn().Stringer("fingerprint", f).Str("target", d.Target).Msg("peers are not told of a target's death: too many at once")
+		s.cfg.Log.Warn().Stringer("fingerprint", f).Str("target", d.Target).Msg("target death not reported to peers: too many pending reports")
 		return true
 	}
 	s.pending = append(s.pending, codec.Encode(quarantine.Case{Fingerprint: f, Deaths: []quarantine.Death{d}}))
 	if !s.sending {
 		s.sending = true
 		peers := len(s.cfg.Members.View().Peers)
-		time.AfterFunc(max(minGatherTime, time.Duration(peers)*gatherPerPeer), s.send)
+		time.AfterFunc(max(minBatchDelay, time.Duration(peers)*batchDelayPerPeer), s.send)
 	}
 	return true
 }
 
-// send tells the peers what is pending.
+// send reports the pending deaths to the peers.
 func (s *Service) send() {
 	s.mu.Lock()
 	request := &peerpb.ReportDeathsRequest{Suspects: s.pending}
@@ -112,15 +113,15 @@
 		g.Go(func() error {
 			client := peerpb.NewRequestProtobufClient(s.cfg.Peers.URL(p.PeerAddress), s.cfg.Peers.HTTP(), twirp.WithClientPathPrefix(s.cfg.PathPrefix))
 			if _, err := client.ReportDeaths(ctx, request); err != nil {
-				s.cfg.Log.Warn().Err(err).Str("vm", p.ID).Msg("peer was not told of a target's death")
+				s.cfg.Log.Warn().Err(err).Str("vm", p.ID).Msg("failed to report target deaths to a peer")
 			}
 			return nil
 		})
 	}
-	_ = g.Wait() // the functions return no errors
+	_ = g.Wait() // the functions always return nil
 }
 
-// ReportDeaths notes deaths that a peer saw.
+// ReportDeaths records deaths that a peer observed.
 func (s *Service) ReportDeaths(_ context.Context, m *peerpb.ReportDeathsRequest) (*peerpb.ReportDeathsResponse, error) {
 	for _, suspect := range m.GetSuspects() {
 		c, err := codec.Decode(suspect)
@@ -132,12 +133,12 @@
 	return &peerpb.ReportDeathsResponse{}, nil
 }
 
-// TakeIn notes what another VM knows of a request; by says how it came.
-func (s *Service) TakeIn(c quarantine.Case, by string) {
+// TakeIn records what another VM knows of a request; source is how this VM learned it, for the log.
+func (s *Service) TakeIn(c quarantine.Case, source string) {
 	for _, d := range c.Deaths {
 		if s.cfg.List.Note(c.Fingerprint, d) {
 			s.cfg.Log.Info().Stringer("fingerprint", c.Fingerprint).Str("target", d.Target).Int("prior", d.Prior).
-				Dur("age_ms", d.Age).Str("by", by).Msg("another VM saw a target die while it ran a request")
+				Dur("age_ms", d.Age).Str("by", source).Msg("another VM saw a target die while it ran a request")
 		}
 	}
 	s.cfg.List.Tried(c.Fingerprint, c.Trials)
