--- a/pkg/limit/book.go
+++ b/pkg/limit/book.go
@@ -211,10 +211,10 @@
 // abandonWait ends a wait without a decision.
 func (b *budget) abandonWait() { b.waiting-- }
 
-// needsRefill reports whether the VM requests tokens in advance: during a round trip it would spend
-// more beyond its own rate than it has. It does not if that is less than one token, as the tokens
-// would mostly end unused, nor if it is a large fraction of the burst, as other VMs would lack
-// them.
+// needsRefill reports whether the VM requests tokens in advance, because during a round trip it
+// would spend more beyond its own rate than it has. It requests none in advance if that is less
+// than one token, as the tokens would mostly end unused, or if it is a large fraction of the burst,
+// as other VMs would lack them.
 func (b *budget) needsRefill() bool {
 	if b.prefetches() {
 		return b.tokens < 1
