--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -3,11 +3,11 @@
 //
 // A target that dies takes all its running requests with it, and most of them are harmless. So a
 // first death only makes a request suspect. A further death counts if the request was sent again
-// after a death was known of it, and that target died too. Such a death counts by half if another
-// suspect died on the same target at that time. Twice the score is needed while other targets die
-// that the request was not sent to, as when a region fails. A suspect that a target answers is
-// cleared: a request that crashes targets crashes every one that runs it, whereas a popular request
-// merely happens to run on most targets that die.
+// after a death was known of it, and that target died too. Such a death counts half if another
+// suspect was sent to the same target and was running when it died. Twice the score is needed while
+// other targets die that the request was not sent to, as when a region fails. A suspect that a
+// target answers is cleared: a request that crashes targets crashes every one that runs it, whereas
+// a popular request merely happens to run on most targets that die.
 //
 // A request with which several targets died is on probation whatever its score: it is sent only as
 // a trial, one at a time in the whole fleet. Where trials are used, a quarantine ends with a trial
@@ -229,8 +229,8 @@
 	return l.state.clear(func(v *suspect) bool { return v.fingerprint == f }, f.Base)
 }
 
-// Note records that a target died while it ran the request. It reports whether the death was
-// unknown and makes the request suspect.
+// Note records that a target died while it ran the request. It reports whether the death is new and
+// makes the request suspect.
 func (l *List) Note(f Fingerprint, d Death) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -273,8 +273,8 @@
 	}
 }
 
-// Tried records that a total of trials of a request have been sent. If that is more than known, the
-// last trial counts from now.
+// Tried records the total number of trials of a request. If it exceeds the known number, the last
+// trial counts from now.
 func (l *List) Tried(f Fingerprint, trials int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/quarantine/state.go
+++ b/pkg/quarantine/state.go
@@ -28,7 +28,7 @@
 	lastTrial clock.Time // time of the last trial, if any
 }
 
-// recordTrials records that a total of trials of the suspect have been sent.
+// recordTrials records the total number of trials of the suspect.
 func (v *suspect) recordTrials(trials int, now clock.Time) {
 	if trials > v.trials {
 		v.trials, v.lastTrial = trials, now
