--- a/pkg/edge/balance.go
+++ b/pkg/edge/balance.go
@@ -10,25 +10,26 @@
 	"crocusramp.dev/crocusramp/pkg/target"
 )
 
-// balancePeriod is how often the regions' parts follow capacity and demand.
+// balancePeriod is how often the regions' shares are recomputed from capacity and demand.
 const balancePeriod = 250 * time.Millisecond
 
-// parts holds where the requests to each pool run.
-type parts map[string][]placement.Part
+// regionShares maps a pool to the fractions of its requests that each region runs.
+type regionShares map[string][]placement.Part
 
-// balance keeps the parts until ctx ends.
+// balance periodically updates the limits of targets, the exchanged suspects, the region
+// shares and the fleet's share count, until ctx ends.
 func (d *Daemon) balance(ctx context.Context) {
 	balancers := map[string]*placement.Balancer{}
 	every(ctx, balancePeriod, func() {
 		now := time.Now()
-		d.followLimits(now)
-		d.suspects.exchange(d.members.View())
+		d.syncTargetLimits(now)
+		d.suspects.exchangeReports(d.members.View())
 		d.rebalance(balancers, now)
 		d.fleet.refresh(d.clock.Now())
 	})
 }
 
-// every calls f now and each period until ctx ends.
+// every calls f immediately and then once per period until ctx ends.
 func every(ctx context.Context, period time.Duration, f func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -42,22 +43,23 @@
 	}
 }
 
+// rebalance recomputes and publishes the region shares of every pool.
 func (d *Daemon) rebalance(balancers map[string]*placement.Balancer, now time.Time) {
 	snapshot, view := d.targets.Snapshot(), d.members.View()
-	next := parts{}
+	shares := regionShares{}
 	for pool, byRegion := range snapshot.Pools {
 		b := balancers[pool]
 		if b == nil {
 			b = &placement.Balancer{}
 			balancers[pool] = b
 		}
-		next[pool] = b.Update(d.self.Region, d.regionsOf(pool, byRegion, view), now)
+		shares[pool] = b.Update(d.self.Region, d.regionsOf(pool, byRegion, view), now)
 	}
-	d.parts.Store(&next)
+	d.shares.Store(&shares)
 }
 
-// regionsOf describes the regions for a pool: the capacity that this VM may use,
-// and the demand of the live VMs' callers.
+// regionsOf returns each region's capacity for a pool, as far as this VM may use it, and
+// the demand of the callers of all live VMs.
 func (d *Daemon) regionsOf(pool string, byRegion map[string][]*target.Live, view *member.View) []placement.Region {
 	work, bound := map[string]float64{}, map[string]float64{}
 	add := func(region string, loads []member.PoolLoad) {
@@ -85,15 +87,16 @@
 	return regions
 }
 
-// partsOf returns where the requests to a pool run.
-func (d *Daemon) partsOf(pool string) []placement.Part {
-	if p := d.parts.Load(); p != nil && (*p)[pool] != nil {
+// sharesOf returns the fraction of a pool's requests that each region runs. It computes
+// the fractions if balance has not published any for the pool yet.
+func (d *Daemon) sharesOf(pool string) []placement.Part {
+	if p := d.shares.Load(); p != nil && (*p)[pool] != nil {
 		return (*p)[pool]
 	}
 	return placement.Split(d.self.Region, d.regionsOf(pool, d.targets.Snapshot().Pools[pool], d.members.View()))
 }
 
-// regionNames lists the regions of the failure domains, in order.
+// regionNames returns the distinct regions of the failure domains, sorted.
 func regionNames(domains map[string]string) []string {
 	var names []string
 	for _, region := range domains {
--- a/pkg/edge/conns.go
+++ b/pkg/edge/conns.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// idlePeriod is how often idle connections are looked at.
+// idlePeriod is how often idle connections are checked against the limit.
 const idlePeriod = time.Second
 
-// callerConns knows which of the callers' connections carry a request and which are idle.
-// It closes those that were idle for longer than the configuration allows; net/http's own
-// limit is fixed when a server starts.
+// callerConns tracks which caller connections carry a request and which are idle, and
+// closes those that are idle for longer than the configuration allows. net/http's own
+// IdleTimeout cannot follow the configuration because it is fixed when a server starts.
 type callerConns struct {
 	mu        sync.Mutex
 	idleSince map[net.Conn]time.Time
@@ -24,7 +24,7 @@
 	return &callerConns{idleSince: map[net.Conn]time.Time{}, active: map[net.Conn]struct{}{}}
 }
 
-// track is a server's ConnState hook.
+// track is the http.Server.ConnState hook.
 func (cc *callerConns) track(c net.Conn, s http.ConnState) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -38,30 +38,32 @@
 	}
 }
 
-// busy is how many connections carry a request whose answer has not left.
-func (cc *callerConns) busy() int {
+// activeCount returns the number of connections with a request whose response is not
+// completely sent.
+func (cc *callerConns) activeCount() int {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return len(cc.active)
 }
 
-// closeOlder closes what was idle for longer than limit at now.
-func (cc *callerConns) closeOlder(limit time.Duration, now time.Time) {
+// closeExpired closes the connections that have been idle for longer than limit at now.
+func (cc *callerConns) closeExpired(limit time.Duration, now time.Time) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	for c, since := range cc.idleSince {
 		if now.Sub(since) > limit {
 			delete(cc.idleSince, c)
-			_ = c.Close() // the caller may have closed it
+			_ = c.Close() // fails if the caller has already closed it
 		}
 	}
 }
 
-// closeIdle closes callers' idle connections until ctx ends.
+// closeIdle periodically closes callers' connections that exceed the configured idle
+// timeout, until ctx ends.
 func (d *Daemon) closeIdle(ctx context.Context) {
 	every(ctx, idlePeriod, func() {
 		if limit := d.Snapshot().CallerLimits.IdleTimeout; limit > 0 {
-			d.conns.closeOlder(limit, time.Now())
+			d.conns.closeExpired(limit, time.Now())
 		}
 	})
 }
--- a/pkg/edge/conns_test.go
+++ b/pkg/edge/conns_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	idle := newCallerConns()
+	conns := newCallerConns()
 	release := make(chan struct{})
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
@@ -20,7 +20,7 @@
 		}
 		fmt.Fprint(w, "ok")
 	}))
-	server.Config.ConnState = idle.track
+	server.Config.ConnState = conns.track
 	server.Start()
 	defer server.Close()
 	open := func(path string) (net.Conn, *bufio.Reader) {
@@ -32,32 +32,32 @@
 		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path)
 		return c, bufio.NewReader(c)
 	}
-	_, in := open("/fast")
-	resp, err := http.ReadResponse(in, nil)
+	_, fast := open("/fast")
+	resp, err := http.ReadResponse(fast, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_, slow := open("/slow")
-	// The first connection becomes idle a moment after its answer was read.
-	for idle.count() == 0 {
+	// The server marks the first connection idle shortly after the client has read the response.
+	for conns.idleCount() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	idle.closeOlder(15*time.Second, time.Now().Add(14*time.Second))
-	if idle.count() != 1 {
-		t.Error("closed before the limit")
+	conns.closeExpired(15*time.Second, time.Now().Add(14*time.Second))
+	if conns.idleCount() != 1 {
+		t.Error("the idle connection was closed before the limit")
 	}
-	idle.closeOlder(15*time.Second, time.Now().Add(16*time.Second))
-	if _, err := in.ReadByte(); err == nil {
+	conns.closeExpired(15*time.Second, time.Now().Add(16*time.Second))
+	if _, err := fast.ReadByte(); err == nil {
 		t.Error("the idle connection is still open")
 	}
 	close(release)
 	if resp, err := http.ReadResponse(slow, nil); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("a request that ran was cut: %v", err)
+		t.Errorf("the running request did not complete: %v", err)
 	}
 }
 
-func (cc *callerConns) count() int {
+func (cc *callerConns) idleCount() int {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return len(cc.idleSince)
--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -1,6 +1,6 @@
-// Package edge wires one VM on a platform that holds the configuration and the
-// list of targets: it follows both, keeps in touch with the other VMs, answers
-// which VMs to use and carries callers' requests.
+// Package edge runs the daemon of one VM on a platform that stores the configuration and
+// the list of targets. It watches both, exchanges heartbeats with the other VMs, answers
+// callers' look-ups of VMs and forwards callers' requests to targets.
 package edge
 
 import (
@@ -35,46 +35,48 @@
 )
 
 const (
-	// fleetTable holds a row for each VM, and one for each request with which several targets died.
+	// fleetTable is the store's table with a row for each VM, and a row for each request
+	// during which several targets crashed.
 	fleetTable = "crocusramp_vms"
-	// storeShare is how many VMs the store's rates are divided among.
-	storeShare = 128
-	// listPeriod is how often heartbeats take over the registered VMs, which are
-	// held in memory.
+	// storeRateDivisor is the number of VMs that the store's rate limits are divided among.
+	storeRateDivisor = 128
+	// listPeriod is how often the prober rereads the registered VMs. They are held in
+	// memory, so a read is cheap.
 	listPeriod = 250 * time.Millisecond
-	// maxProbePeriod is the longest time between two heartbeats to a VM. Look-ups must
-	// not name a dead one 6 s after its end.
+	// maxProbePeriod is the longest time between two heartbeats to a VM. A look-up must
+	// not return a VM that has been dead for 6 s.
 	maxProbePeriod = 2500 * time.Millisecond
-	// locateTTL is how long callers may keep a look-up: long enough that look-ups are
-	// few beside requests, short enough that a stop has drained by then.
+	// locateTTL is how long callers may cache a look-up: long enough that look-ups are
+	// few compared to requests, and short enough that the cached entry has expired before
+	// a stopping VM refuses new requests.
 	locateTTL = 2 * time.Second
-	// targetDialTimeout covers three round trips between the farthest regions.
+	// targetDialTimeout allows three round trips between the most distant regions.
 	targetDialTimeout = 350 * time.Millisecond
-	// targetUnacknowledged is how long a target may leave bytes unacknowledged
-	// before it counts as unreachable.
-	targetUnacknowledged = 900 * time.Millisecond
-	// targetBuffer is the buffer of a connection to a target. There may be
-	// hundreds, mostly idle.
-	targetBuffer = 4 << 10
-	// targetIdle is how long a connection to a target is kept where the target
-	// does not say for how long it is.
-	targetIdle = 4 * time.Second
-	// targetSweep is how often idle connections to targets are looked through.
-	targetSweep = 2 * time.Second
-	// freshIdle is how long a connection may have been idle that carries a
-	// request which must not run twice.
-	freshIdle = 3 * time.Second
-	// callersIdle bounds idle connections until a configuration is known.
-	callersIdle = 75 * time.Second
-	// headerTimeout bounds the time in which a caller sends its header.
+	// targetAckTimeout is how long sent bytes may stay unacknowledged before the target
+	// counts as unreachable (TCP_USER_TIMEOUT).
+	targetAckTimeout = 900 * time.Millisecond
+	// targetBufferBytes is the buffer size of a connection to a target. It is small because
+	// there may be hundreds of mostly idle connections.
+	targetBufferBytes = 4 << 10
+	// targetIdleTimeout is how long an idle connection to a target is kept if the target
+	// does not announce a keep-alive timeout.
+	targetIdleTimeout = 4 * time.Second
+	// targetSweepPeriod is how often expired idle connections to targets are closed.
+	targetSweepPeriod = 2 * time.Second
+	// atMostOnceMaxIdle is the longest that a connection may have been idle and still be
+	// reused for a request that must not run twice.
+	atMostOnceMaxIdle = 3 * time.Second
+	// callerIdleTimeout bounds idle caller connections until a configuration is loaded.
+	callerIdleTimeout = 75 * time.Second
+	// headerTimeout bounds how long a caller may take to send a request header.
 	headerTimeout = 10 * time.Second
 	// maxListeners is how many listeners a VM has.
 	maxListeners = 6
-	// gcPercent trades processor time for memory, which is dearer.
+	// gcPercent trades CPU time for memory, which costs more.
 	gcPercent = 40
 )
 
-// Daemon is one VM.
+// Daemon is the process that runs on one VM.
 type Daemon struct {
 	settings atomic.Pointer[settings.Edge]
 	path     string
@@ -90,44 +92,45 @@
 	members *member.Prober
 	limiter *limit.Service
 	targets *target.Registry
-	// targetLimits divides the limits that targets name.
+	// targetLimits divides the rate limits that targets announce among the VMs.
 	targetLimits *targetLimits
 	quarantine   *quarantine.List
 	suspects     *suspects
-	// observed are the limits that heartbeats report.
-	observed atomic.Pointer[[]member.TargetLimit]
-	client   *forward.Client
-	ingress  *ingress.Server
-	state    atomic.Pointer[ingress.State]
-	// known is closed when the first configuration, list of targets and list of VMs have
+	// reportedLimits are the target limits that this VM reports in heartbeats.
+	reportedLimits atomic.Pointer[[]member.TargetLimit]
+	client         *forward.Client
+	ingress        *ingress.Server
+	state          atomic.Pointer[ingress.State]
+	// loaded is closed when the first configuration, list of targets and list of VMs have
 	// been read.
-	known     chan struct{}
-	knownOnce sync.Once
-	// targetsRead and fleetRead say that these lists have been read.
+	loaded     chan struct{}
+	loadedOnce sync.Once
+	// targetsRead and fleetRead are set when the list of targets and the list of VMs have
+	// been read once.
 	targetsRead, fleetRead atomic.Bool
-	parts                  atomic.Pointer[parts]
+	shares                 atomic.Pointer[regionShares]
 	self                   member.Peer
 	regions                []string
-	// shutdownTracer sends the spans that wait for the collector.
+	// shutdownTracer sends the buffered spans to the collector.
 	shutdownTracer func(context.Context) error
 
-	vms     map[string]Registration // owned by the fleet table's watcher
-	leaving atomic.Bool
-	servers []*http.Server
-	callers *http.Server
-	failed  chan error // of the listeners
-	conns   *callerConns
-	// listKnown is the store's version up to which the list of targets is known,
-	// listNewest the version of its newest change.
+	vms            map[string]Registration // used by the fleet table's watcher only
+	leaving        atomic.Bool
+	servers        []*http.Server
+	callers        *http.Server
+	listenerErrors chan error // errors of the listeners
+	conns          *callerConns
+	// listKnown is the store version up to which the list of targets has been read;
+	// listNewest is the version of the newest change to the list itself.
 	listKnown, listNewest atomic.Int64
 }
 
-// New builds a VM's parts; Run starts them.
+// New builds a Daemon from the settings that were loaded from path. Run starts it.
 func New(ctx context.Context, path string, s *settings.Edge, log zerolog.Logger) (*Daemon, error) {
 	d := &Daemon{
 		path: path, log: log, metrics: metrics.NewRegistry(), latency: telemetry.NewHistogram(), clock: clock.System{},
-		loop: control.NewLoop(), vms: map[string]Registration{}, conns: newCallerConns(), known: make(chan struct{}),
-		failed: make(chan error, maxListeners),
+		loop: control.NewLoop(), vms: map[string]Registration{}, conns: newCallerConns(), loaded: make(chan struct{}),
+		listenerErrors: make(chan error, maxListeners),
 	}
 	d.settings.Store(s)
 	d.regions = regionNames(s.FailureDomains)
@@ -147,51 +150,53 @@
 	return d, nil
 }
 
-// buildControl builds what follows the platform and the other VMs.
+// buildControl builds the components that watch the platform's store, exchange state with
+// the other VMs and divide limits among the VMs.
 func (d *Daemon) buildControl() {
 	s := d.settings.Load()
 	d.store = platform.NewStore(platform.StoreConfig{
-		Address: s.Store.Address, ReadsPerSecond: s.Store.ReadsPerSecond / storeShare,
-		WritesPerSecond: s.Store.WritesPerSecond / storeShare, Metrics: d.metrics,
+		Address: s.Store.Address, ReadsPerSecond: s.Store.ReadsPerSecond / storeRateDivisor,
+		WritesPerSecond: s.Store.WritesPerSecond / storeRateDivisor, Metrics: d.metrics,
 	})
 	d.dialer = peer.NewDialer(nil)
 	d.fleet = newRegistry(Registration{ID: s.VM.ID, PeerAddress: s.Listen.Peers}, d.clock.Now(), s.FirstStart, &d.settings)
 	d.members = member.NewProber(member.Config{
 		Self: d.self, Directory: d.fleet, Dialer: d.dialer, Loop: d.loop, Clock: d.clock, Log: d.log,
-		Local: d.describe, ListPeriod: listPeriod, MaxProbePeriod: maxProbePeriod,
+		Local: d.fillStatus, ListPeriod: listPeriod, MaxProbePeriod: maxProbePeriod,
 	})
 	d.limiter = limit.NewService(limit.Config{
 		Config: d, Slots: d.fleet, Members: d.members, Peers: d.dialer, Clock: d.clock, Loop: d.loop, Log: d.log, Metrics: d.metrics,
 		StartTokens: d.fleet.startTokens,
 	})
 	d.quarantine = quarantine.NewList(quarantine.Config{
-		Size: maxSuspects, Memory: suspectMemory, Duration: quarantineTime, Backoff: quarantineBackoff, MaxTrials: maxTrials, Answered: maxAnswered, Clock: d.clock,
+		Size: maxSuspects, Memory: suspectRetention, Duration: quarantineTime, Backoff: quarantineBackoff, MaxTrials: maxTrials, Answered: maxAnswered, Clock: d.clock,
 	})
 	d.suspects = newSuspects(d)
 	d.targets = target.NewRegistry(s.FailureDomains, time.Now())
 	d.targetLimits = newTargetLimits()
 	d.targetLimits.service = limit.NewService(limit.Config{
-		Config: d.targetLimits, Slots: allLent{d.fleet}, Members: d.members, Peers: d.dialer, Clock: d.clock, Loop: d.loop, Log: d.log, Metrics: d.metrics,
-		Name: limiterName, Near: d.targetLimits.near, Eager: true,
+		Config: d.targetLimits, Slots: lendableHolder{d.fleet}, Members: d.members, Peers: d.dialer, Clock: d.clock, Loop: d.loop, Log: d.log, Metrics: d.metrics,
+		Name: limiterName, Near: d.targetLimits.regionOf, Eager: true,
 	})
 }
 
-// buildTraffic builds what a request passes.
+// buildTraffic builds the components that serve and forward callers' requests.
 func (d *Daemon) buildTraffic(tracer trace.Tracer) {
 	d.client = forward.NewClient(forward.Config{
-		DialTimeout: targetDialTimeout, IdleTimeout: targetIdle, FreshIdle: freshIdle, BufferBytes: targetBuffer,
+		DialTimeout: targetDialTimeout, IdleTimeout: targetIdleTimeout, FreshIdle: atMostOnceMaxIdle, BufferBytes: targetBufferBytes,
 		EchoHeader: platform.Headers{}.EchoHeader(), SkipCrossed: true, AllowUnframed: true,
-		Dial: forward.WatchfulDialer(targetDialTimeout, targetUnacknowledged).DialContext,
+		Dial: forward.WatchfulDialer(targetDialTimeout, targetAckTimeout).DialContext,
 	})
 	d.ingress = ingress.NewServer(ingress.Config{
-		Wire: platform.Headers{}, Region: d.self.Region, State: d.state.Load, Known: d.known, Targets: d.targets, Parts: d.partsOf, Limiter: d.limiter,
+		Wire: platform.Headers{}, Region: d.self.Region, State: d.state.Load, Known: d.loaded, Targets: d.targets, Parts: d.sharesOf, Limiter: d.limiter,
 		TargetLimiter: d.targetLimits, Fleet: d.fleet, Quarantine: d.quarantine, Suspects: d.suspects, IdleSince: d.idleSince(), Client: d.client, Clock: d.clock, Log: d.log, Metrics: d.metrics, Tracer: tracer,
 		Latency: func(t time.Duration) { d.latency.Record(t.Microseconds()) },
 	})
 	d.latency.RegisterQuantiles("ingress.latency", d.metrics)
 }
 
-// idleSince is since when no other process of this VM has run; 0 where it is the first.
+// idleSince returns the time since which no other process of this VM can have sent
+// requests: the start of this process, or 0 on the VM's first start.
 func (d *Daemon) idleSince() clock.Time {
 	if d.settings.Load().FirstStart {
 		return 0
@@ -199,8 +204,9 @@
 	return d.fleet.started
 }
 
-// describe completes what heartbeats say of this VM.
-func (d *Daemon) describe(p *member.Peer) {
+// fillStatus adds the changing fields to this VM's heartbeat: state, versions, demand,
+// limits and suspects.
+func (d *Daemon) fillStatus(p *member.Peer) {
 	if !d.ready() {
 		p.State = member.Leaving
 	}
@@ -209,31 +215,31 @@
 	}
 	p.ListVersion = d.listNewest.Load()
 	p.Pools = append(p.Pools, d.ingress.Demand()...)
-	if l := d.observed.Load(); l != nil {
+	if l := d.reportedLimits.Load(); l != nil {
 		p.Limits = *l
 	}
-	if c := d.suspects.reported.Load(); c != nil {
+	if c := d.suspects.reportedCases.Load(); c != nil {
 		p.Suspects = *c
 	}
 }
 
-// limiters are the services that divide bounds among the VMs.
+// limiters returns the services that divide limits among the VMs.
 func (d *Daemon) limiters() []*limit.Service {
 	return []*limit.Service{d.limiter, d.targetLimits.service}
 }
 
-// ready reports whether this VM takes callers.
+// ready reports whether this VM accepts callers' requests.
 func (d *Daemon) ready() bool { return !d.leaving.Load() && d.state.Load() != nil }
 
-// empty is in force until a configuration is known.
-var empty = config.Empty()
+// emptyConfig applies until a configuration is loaded.
+var emptyConfig = config.Empty()
 
 // Snapshot implements config.Source.
 func (d *Daemon) Snapshot() config.Snapshot {
 	if s := d.state.Load(); s != nil {
 		return config.Snapshot{Config: s.Config, Fresh: true}
 	}
-	return config.Snapshot{Config: empty}
+	return config.Snapshot{Config: emptyConfig}
 }
 
 // Run serves until ctx ends or a listener fails, then stops gracefully.
@@ -249,13 +255,13 @@
 	for _, l := range d.limiters() {
 		l.Start(background)
 	}
-	d.follow(background)
+	d.watchTables(background)
 	d.loop.Go(background, d.probeSuspects)
 	d.loop.Go(background, d.balance)
 	d.loop.Go(background, d.sweepFleet)
-	d.loop.Go(background, d.suspects.keep)
+	d.loop.Go(background, d.suspects.syncRows)
 	d.loop.Go(background, d.closeIdle)
-	d.loop.Go(background, func(ctx context.Context) { every(ctx, targetSweep, d.client.Sweep) })
+	d.loop.Go(background, func(ctx context.Context) { every(ctx, targetSweepPeriod, d.client.Sweep) })
 	d.loop.Go(background, func(ctx context.Context) { d.watchSettings(ctx, reload) })
 	s := d.settings.Load()
 	d.log.Info().Str("incarnation", d.self.Incarnation).Str("callers", s.Listen.Callers).Str("peers", s.Listen.Peers).
@@ -263,15 +269,16 @@
 	var err error
 	select {
 	case <-ctx.Done():
-	case err = <-d.failed:
-		d.log.Error().Err(err).Msg("a listener failed")
+	case err = <-d.listenerErrors:
+		d.log.Error().Err(err).Msg("listener failed; stopping")
 	}
 	d.stop()
 	d.log.Info().Int("running", d.ingress.Running()).Msg("stopped")
 	return err
 }
 
-// listen binds every listener before any of them serves.
+// listen binds the listeners in turn and starts to serve on each. It returns an error if
+// an address cannot be bound.
 func (d *Daemon) listen() error {
 	s := d.settings.Load()
 	peers := http.NewServeMux()
@@ -301,7 +308,7 @@
 		if err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
-		server := &http.Server{Handler: l.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callersIdle}
+		server := &http.Server{Handler: l.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout}
 		if l.address == s.Listen.Callers {
 			server.ConnState, server.ConnContext = d.conns.track, ingress.ConnContext
 			d.callers = server
@@ -310,7 +317,7 @@
 		}
 		go func() {
 			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-				d.failed <- err
+				d.listenerErrors <- err
 			}
 		}()
 	}
--- a/pkg/edge/fleet.go
+++ b/pkg/edge/fleet.go
@@ -23,121 +23,121 @@
 )
 
 const (
-	// coldReserve is the part of a cold target's bound, in requests, that is
-	// left for requests which arrive later than they were sent.
+	// coldReserve is the number of requests of a cold target's bound that stay unused, to
+	// allow for requests that arrive later than they were sent.
 	coldReserve = 1.5
-	// farFuture is when a registered VM's part of the limits ends: never while
-	// its process runs.
+	// farFuture is the expiry of a registered VM's share of the limits: it never expires
+	// while the process runs.
 	farFuture = clock.Time(math.MaxInt64)
 )
 
-// Registration is what a VM writes of itself into the fleet's table.
+// Registration is a VM's row in the fleet's table.
 type Registration struct {
 	ID          string `json:"id"`
 	PeerAddress string `json:"peer_address"`
-	// Left is set by a VM that stops. Its row stays for a while: VMs that start meanwhile
-	// must know that it may come back.
+	// Left is set by a VM that stops. Its row stays for a while, because VMs that start in
+	// the meantime must know that it may come back.
 	Left bool `json:"left,omitempty"`
-	// version is the row's in the store.
+	// version is the version of the row in the store.
 	version int64
 }
 
-// same reports whether two registrations say the same.
-func (v Registration) same(w Registration) bool {
+// equal compares two registrations without their versions.
+func (v Registration) equal(w Registration) bool {
 	return v.ID == w.ID && v.PeerAddress == w.PeerAddress && v.Left == w.Left
 }
 
 const (
-	// slotsPerVM is how many numbered slots a VM's part of the limits has: one that it
-	// keeps, so that it admits requests as soon as it has started, and one that it lends.
+	// slotsPerVM is the number of slots in a VM's share of the limits: one that it keeps, so
+	// that it can admit requests as soon as it has started, and one that it lends.
 	slotsPerVM = 2
-	// maxKeepers is the size of the fleet up to which VMs keep one. In larger ones half of
-	// a part is less than a token of many accounts' bursts: kept, it admits nothing on any
-	// VM and helps no other. What operators change must not decide this, since the next
-	// process of a VM must not use at once what the one before may have lent.
-	maxKeepers = 32
+	// maxFleetWithKeptSlots is the fleet size up to which each VM keeps one slot. In a larger
+	// fleet half of a share is less than one token of many accounts' bursts: if the VM kept
+	// it, the slot would admit nothing there and could not be lent to another VM. The rule
+	// must not depend on settings that operators change, because a restarted VM must not use
+	// at once what its earlier process may have lent.
+	maxFleetWithKeptSlots = 32
 )
 
-// registry knows which VMs are registered. Each has a fixed and equal part of
-// every bound that holds for the fleet, whether it runs or not, so that a VM that
-// is cut off from the others never uses more than its own. It implements
-// storage.Directory and lease.Holder.
+// registry holds the registered VMs. Each has a fixed, equal share of every fleet-wide limit,
+// whether it runs or not, so that a VM that is partitioned from the others never uses more
+// than its own share. It implements storage.Directory and lease.Holder.
 type registry struct {
 	self    Registration
 	started clock.Time
-	// settled says that nothing of the slot that is lent can still be lent by an
-	// earlier process of the VM; waited, that this was asked for in vain.
-	settled, waited atomic.Bool
-	// registered says that this VM is among those that share the bounds.
+	// settled is set when no loan that an earlier process of this VM granted is in use any
+	// more. loanWaitEnded is set when the wait for that is over, whether it succeeded or not.
+	settled, loanWaitEnded atomic.Bool
+	// registered is set while this VM is among those that share the limits.
 	registered atomic.Bool
-	mu         sync.Mutex // serializes set
-	// shrunk is when fewer VMs were registered than the parts are made for; zero
-	// while they are as many.
-	shrunk clock.Time
-	// left is when the VMs that stopped were first seen to have; serialized by mu.
-	left map[string]clock.Time
-	// rows are all registrations, vms those of VMs that have not left; nil until they are
-	// known.
+	mu         sync.Mutex // serializes setRows
+	// shrunkAt is when the number of registered VMs fell below the share count; 0 while it
+	// is not below.
+	shrunkAt clock.Time
+	// leftAt is when this VM first saw each stopped VM's row marked as left. Guarded by mu.
+	leftAt map[string]clock.Time
+	// rows holds all registrations, vms those of VMs that have not left. Both are nil until
+	// the table has been read.
 	rows, vms atomic.Pointer[[]Registration]
 	holding   atomic.Pointer[lease.Holding]
-	// lendable is holding for bounds of which no VM keeps a part.
+	// lendable is the variant of holding for limits of which no VM keeps a slot.
 	lendable atomic.Pointer[lease.Holding]
 	settings *atomic.Pointer[settings.Edge]
 }
 
 func newRegistry(self Registration, started clock.Time, firstStart bool, s *atomic.Pointer[settings.Edge]) *registry {
-	r := &registry{self: self, started: started, settings: s, left: map[string]clock.Time{}}
+	r := &registry{self: self, started: started, settings: s, leftAt: map[string]clock.Time{}}
 	r.settled.Store(firstStart)
 	r.holding.Store(&lease.Holding{Total: slotsPerVM})
 	r.lendable.Store(&lease.Holding{Total: slotsPerVM})
 	return r
 }
 
-// shrinkDelay is how long the parts stay as they are after a VM has left: loans
-// of what it held may run that long.
+// shrinkDelay is how long the share count stays unchanged after a VM has left: loans from
+// its share may be in use for that long.
 const shrinkDelay = 4 * time.Second
 
-// leftPeriod is after which time the row of a VM that stopped is removed: it has not come back.
-const leftPeriod = 30 * time.Second
+// leftRowRetention is how long the row of a stopped VM is kept in case it comes back.
+const leftRowRetention = 30 * time.Second
 
-// total is the number of parts that a bound is divided into at now. It follows a
-// VM that comes at once, and one that leaves after shrinkDelay. A VM that has just started
-// counts those that have left, too.
-func (r *registry) total(vms, left int, now clock.Time) int {
-	old := r.parts()
+// nextShareCount returns the number of shares that limits are divided into at now. It grows
+// at once when a VM joins and shrinks shrinkDelay after VMs have left. A VM that has
+// just started also counts the VMs that have left.
+func (r *registry) nextShareCount(vms, left int, now clock.Time) int {
+	old := r.shareCount()
 	if r.rows.Load() == nil {
 		old = vms + left
 	}
 	if vms >= old {
-		r.shrunk = 0
+		r.shrunkAt = 0
 		return max(1, vms)
 	}
-	if r.shrunk == 0 {
-		r.shrunk = now
+	if r.shrunkAt == 0 {
+		r.shrunkAt = now
 	}
-	if now.Sub(r.shrunk) < shrinkDelay {
+	if now.Sub(r.shrunkAt) < shrinkDelay {
 		return old
 	}
-	r.shrunk = 0
+	r.shrunkAt = 0
 	return max(1, vms)
 }
 
-// set takes over the rows of VMs, in order of ID. It is called again now and
-// then while nothing changes.
-func (r *registry) set(rows []Registration, now clock.Time) {
+// setRows applies the registrations, sorted by ID. It is also called periodically while
+// nothing changes, so that the share count can shrink after shrinkDelay.
+func (r *registry) setRows(rows []Registration, now clock.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	vms := r.present(rows, now)
+	vms := r.activeVMs(rows, now)
 	at := slices.IndexFunc(vms, func(v Registration) bool { return v.ID == r.self.ID })
-	// After the parts: a VM that is registered has one.
+	// Deferred, so that registered is only set after the VM's share is published.
 	defer r.registered.Store(at >= 0)
 	defer r.vms.Store(&vms)
 	defer r.rows.Store(&rows)
 	old := r.holding.Load()
 	settled := r.settled.Load()
-	parts := r.total(len(vms), len(rows)-len(vms), now)
-	keeps := parts <= maxKeepers
-	lends := settled || r.waited.Load()
+	parts := r.nextShareCount(len(vms), len(rows)-len(vms), now)
+	keeps := parts <= maxFleetWithKeptSlots
+	lends := settled || r.loanWaitEnded.Load()
 	var slots []lease.Slot
 	if at >= 0 && (keeps || lends) {
 		slots = append(slots, lease.Slot{Index: slotsPerVM * at, Since: r.started, Until: farFuture, New: keeps || settled, Kept: keeps})
@@ -154,11 +154,11 @@
 	r.lendable.Store(lendable(next))
 }
 
-// lendable returns a holding of which all is lent. The limits of targets are small: a kept
-// part of one would hold less than a request.
+// lendable returns a copy of a holding without kept slots. It is used for the limits of
+// targets: they are so small that a kept slot would hold less than one request.
 func lendable(h *lease.Holding) *lease.Holding {
 	out := &lease.Holding{Total: h.Total, Generation: h.Generation}
-	if len(h.Slots) < slotsPerVM { // the earlier process may have lent them
+	if len(h.Slots) < slotsPerVM { // an earlier process may have lent them
 		return out
 	}
 	settled := h.Slots[slotsPerVM-1].New
@@ -169,14 +169,14 @@
 	return out
 }
 
-// allLent is what this VM holds of bounds of which no VM keeps a part. It implements
-// lease.Holder.
-type allLent struct{ r *registry }
+// lendableHolder is a lease.Holder for limits of which no VM keeps a slot.
+type lendableHolder struct{ r *registry }
 
-func (a allLent) Holding() *lease.Holding { return a.r.lendable.Load() }
+func (a lendableHolder) Holding() *lease.Holding { return a.r.lendable.Load() }
 
-// present returns the rows of VMs that have not left, and notes since when the others have.
-func (r *registry) present(rows []Registration, now clock.Time) []Registration {
+// activeVMs returns the rows of VMs that have not left, and records in leftAt when the others
+// were first seen to have left.
+func (r *registry) activeVMs(rows []Registration, now clock.Time) []Registration {
 	var vms []Registration
 	left := map[string]clock.Time{}
 	for _, v := range rows {
@@ -185,65 +185,68 @@
 			continue
 		}
 		left[v.ID] = now
-		if since, ok := r.left[v.ID]; ok {
+		if since, ok := r.leftAt[v.ID]; ok {
 			left[v.ID] = since
 		}
 	}
-	r.left = left
+	r.leftAt = left
 	return vms
 }
 
-// stale returns the rows that this VM should remove: one of the VMs does it.
-func (r *registry) stale(now clock.Time) []Registration {
+// expiredRows returns the rows of VMs that left at least leftRowRetention ago. It returns
+// none unless this VM is the coordinator, which removes them.
+func (r *registry) expiredRows(now clock.Time) []Registration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.first() {
+	if !r.isCoordinator() {
 		return nil
 	}
 	var out []Registration
-	for _, v := range list(&r.rows) {
-		if since, ok := r.left[v.ID]; ok && now.Sub(since) >= leftPeriod {
+	for _, v := range loadRegistrations(&r.rows) {
+		if since, ok := r.leftAt[v.ID]; ok && now.Sub(since) >= leftRowRetention {
 			out = append(out, v)
 		}
 	}
 	return out
 }
 
-// first reports whether this VM is the one that does what one VM has to do.
-func (r *registry) first() bool {
-	vms := list(&r.vms)
+// isCoordinator reports whether this VM does the work that only one VM of the fleet should do.
+// That is the registered VM with the lowest ID.
+func (r *registry) isCoordinator() bool {
+	vms := loadRegistrations(&r.vms)
 	return len(vms) > 0 && vms[0].ID == r.self.ID
 }
 
-// list returns registrations, or none while they are not known.
-func list(p *atomic.Pointer[[]Registration]) []Registration {
-	if l := p.Load(); l != nil {
-		return *l
+// loadRegistrations returns the stored registrations, or none until they have been read.
+func loadRegistrations(p *atomic.Pointer[[]Registration]) []Registration {
+	if rows := p.Load(); rows != nil {
+		return *rows
 	}
 	return nil
 }
 
-// refresh makes the parts follow VMs that left some time ago.
+// refresh reapplies the known rows, so that the share count shrinks after shrinkDelay.
 func (r *registry) refresh(now clock.Time) {
 	if rows := r.rows.Load(); rows != nil {
-		r.set(*rows, now)
+		r.setRows(*rows, now)
 	}
 }
 
-// endWait lets this VM use its own part: at once where that is settled, else
-// when every loan of an earlier process has ended.
-func (r *registry) endWait(settled bool, now clock.Time) {
+// endLoanWait lets this VM use its whole share. If settled is false, loans of an earlier
+// process may still be in use, and the slots are marked so that they are used only after
+// these loans have expired.
+func (r *registry) endLoanWait(settled bool, now clock.Time) {
 	r.settled.Store(settled)
-	r.waited.Store(true)
+	r.loanWaitEnded.Store(true)
 	r.refresh(now)
 }
 
-// Holding returns this VM's part of the limits.
+// Holding returns this VM's share of the limits.
 func (r *registry) Holding() *lease.Holding { return r.holding.Load() }
 
-// VMs returns the registered VMs.
+// VMs returns the registered VMs that have not left.
 func (r *registry) VMs(context.Context) ([]storage.VM, error) {
-	vms := list(&r.vms)
+	vms := loadRegistrations(&r.vms)
 	if len(vms) == 0 {
 		return nil, storage.ErrUnavailable
 	}
@@ -254,43 +257,46 @@
 	return out, nil
 }
 
-// count is the number of VMs that share the bounds; 0 while it is not known, or this VM is
-// not one of them.
-func (r *registry) count() int {
+// sharingCount returns the number of VMs that share the limits. It is 0 while that is unknown
+// or this VM is not one of them.
+func (r *registry) sharingCount() int {
 	if !r.registered.Load() {
 		return 0
 	}
-	return r.parts()
+	return r.shareCount()
 }
 
-// parts is the number of parts that limits are divided into.
-func (r *registry) parts() int { return r.holding.Load().Total / slotsPerVM }
+// shareCount returns the number of shares that limits are divided into.
+func (r *registry) shareCount() int { return r.holding.Load().Total / slotsPerVM }
 
-// ColdInterval implements ingress.Fleet. A VM may send floor(1 s/interval)+1
-// requests within a second, so only as many VMs use a cold target as the bound
-// leaves room for beyond the rate.
+// ColdInterval implements ingress.Fleet. It returns the least time between this VM's requests
+// to a cold target, and false if this VM must not use the target. A VM may send
+// floor(1 s/interval)+1 requests within a second, so the number of VMs that use a cold
+// target is limited to what the bound allows beyond the rate.
 func (r *registry) ColdInterval(l *target.Live, rate float64) (time.Duration, bool) {
 	b := r.settings.Load().Bounds
 	users := int(rate*(b.ColdFactor-1) + b.ColdSlack - coldReserve)
 	if rate <= 0 {
 		return 0, false
 	}
-	users = min(users, r.count())
-	if users < 1 || r.rankFor(l.Hash, r.sharing()) >= users {
+	users = min(users, r.sharingCount())
+	if users < 1 || r.rankFor(l.Hash, r.sharingVMs()) >= users {
 		return 0, false
 	}
 	return time.Duration(float64(users) / rate * float64(time.Second)), true
 }
 
-// sharing returns the VMs among which the bounds are divided.
-func (r *registry) sharing() []Registration {
-	if vms := list(&r.vms); r.parts() <= len(vms) {
+// sharingVMs returns the VMs among which the limits are divided. These include VMs that have
+// left until the share count has shrunk.
+func (r *registry) sharingVMs() []Registration {
+	if vms := loadRegistrations(&r.vms); r.shareCount() <= len(vms) {
 		return vms
 	}
-	return list(&r.rows)
+	return loadRegistrations(&r.rows)
 }
 
-// rankFor is this VM's place among those that may use a cold target.
+// rankFor returns this VM's rank for the target with the given hash, by rendezvous hashing.
+// The VMs with the lowest ranks use the target while it is cold.
 func (r *registry) rankFor(hash uint64, vms []Registration) int {
 	score := func(id string) uint64 { return (xxhash.Sum64String(id) ^ hash) * 0x9e3779b97f4a7c15 }
 	own, rank := score(r.self.ID), 0
@@ -302,34 +308,34 @@
 	return rank
 }
 
-// startPart is the part of what an account may have beyond its limit that a
-// start of all VMs uses: two such starts fit into one window.
-const startPart = 0.4
+// startTokensFraction is the fraction of an account's allowed overage that a start of all VMs
+// uses. Two such starts fit into one window.
+const startTokensFraction = 0.4
 
-// startTokens is how many requests of an account are admitted beyond its limit when
-// all VMs start anew. Callers come back all at once then, and refusing them for
-// tokens that an earlier process may have used is a wrongful refusal for most.
+// startTokens returns how many requests of an account are admitted beyond its limit when all
+// VMs restart. All callers then return at the same time. Most of them would be refused
+// wrongly if the buckets counted tokens that an earlier process may have used.
 func (r *registry) startTokens(a *config.Account) float64 {
 	b := r.settings.Load().Bounds
-	return startPart * (b.QuotaOverage*(a.Rate*b.QuotaWindow.Seconds()+a.Burst) + b.QuotaSlack)
+	return startTokensFraction * (b.QuotaOverage*(a.Rate*b.QuotaWindow.Seconds()+a.Burst) + b.QuotaSlack)
 }
 
 // RepeatLimit implements ingress.Fleet.
 func (r *registry) RepeatLimit() retry.PoolLimit {
 	b := r.settings.Load().Bounds
-	return retry.PoolLimit{Ratio: b.RepeatRatio, Floor: b.RepeatFloor, Window: b.RepeatWindow.Duration, VMs: r.count()}
+	return retry.PoolLimit{Ratio: b.RepeatRatio, Floor: b.RepeatFloor, Window: b.RepeatWindow.Duration, VMs: r.sharingCount()}
 }
 
-// sorted returns registrations in order of ID.
+// sorted returns the registrations sorted by ID.
 func sorted(vms map[string]Registration) []Registration {
 	return slices.SortedFunc(maps.Values(vms), func(a, b Registration) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// maxLocated is how many VMs an answer names.
+// maxLocated is the most VMs that a look-up returns.
 const maxLocated = 64
 
-// locate names the VMs that a caller in a region uses: those of its region that
-// take work, else all that do.
+// locate returns the addresses of the VMs that a caller in the region should use: the live VMs
+// of that region, else all live VMs, else this VM.
 func locate(v *member.View, region string) []string {
 	var near, far []string
 	consider := func(p *member.Peer) {
--- a/pkg/edge/fleet_test.go
+++ b/pkg/edge/fleet_test.go
@@ -31,122 +31,124 @@
 	return newRegistry(Registration{ID: id, PeerAddress: "10.0.0.0:1"}, 0, firstStart, &s)
 }
 
-// second is a second on the clock of leases.
+// second is one second in units of clock.Time.
 const second = clock.Time(time.Second)
 
 func TestPartsOfTheBounds(t *testing.T) {
 	r := newTestRegistry("vm-00", true)
 	if got := r.Holding(); len(got.Slots) != 0 {
-		t.Errorf("a VM that is not registered holds %+v", got)
+		t.Errorf("an unregistered VM holds %+v", got)
 	}
 	expect := func(when string, total int) {
 		t.Helper()
 		if got := r.Holding(); got.Total != slotsPerVM*total || len(got.Slots) != slotsPerVM {
-			t.Errorf("%s: %d slots of %d, want a VM's part of %d", when, len(got.Slots), got.Total, total)
+			t.Errorf("%s: VM holds %d of %d slots, want the share of one of %d VMs", when, len(got.Slots), got.Total, total)
 		}
 	}
-	r.set(registrations(10), 0)
+	r.setRows(registrations(10), 0)
 	expect("ten VMs", 10)
-	r.set(registrations(11), second)
-	expect("one comes", 11)
-	// VMs that leave for good: their parts rested for ever
-	// (deploy/days/fleet-losses.toml: a third of all limits).
-	r.set(registrations(6), 2*second)
-	expect("five leave: what they lent may still be used", 11)
+	r.setRows(registrations(11), second)
+	expect("one VM joins", 11)
+	// The shares of VMs that leave for good must go to the others. They once stayed unused
+	// for ever: a third of all limits in deploy/days/fleet-losses.toml.
+	r.setRows(registrations(6), 2*second)
+	expect("five VMs leave; loans from their shares may still be in use", 11)
 	r.refresh(2*second + clock.Time(shrinkDelay))
-	expect("later", 6)
-	r.set(registrations(5), 20*second)
-	r.set(registrations(6), 21*second)
+	expect("after shrinkDelay", 6)
+	r.setRows(registrations(5), 20*second)
+	r.setRows(registrations(6), 21*second)
 	r.refresh(30 * second)
-	expect("one restarts", 6)
+	expect("one VM restarts", 6)
 }
 
-// TestRestartedVMHoldsWhatItKeepsUntilItIsSettled: a VM that starts anew may use at once
-// what no process of it has ever lent, and nothing else.
+// TestRestartedVMHoldsWhatItKeepsUntilItIsSettled guards against a restarted VM that uses
+// tokens which its earlier process has lent. At once it may only use the slot that is
+// never lent.
 func TestRestartedVMHoldsWhatItKeepsUntilItIsSettled(t *testing.T) {
 	r := newTestRegistry("vm-00", false)
-	r.set(registrations(3), 0)
+	r.setRows(registrations(3), 0)
 	if got := r.Holding(); len(got.Slots) != 1 || !got.Slots[0].Kept || !got.Slots[0].New {
-		t.Errorf("holds %+v while others may use what it lent", got.Slots)
+		t.Errorf("VM holds %+v while others may use what it lent, want one kept slot", got.Slots)
 	}
-	r.endWait(true, second)
+	r.endLoanWait(true, second)
 	if got := r.Holding(); len(got.Slots) != slotsPerVM || !got.Slots[1].New || got.Slots[1].Kept {
-		t.Errorf("settled: %+v", got.Slots)
+		t.Errorf("after the loans have ended the VM holds %+v, want a kept and a lendable slot", got.Slots)
 	}
 }
 
-// TestLargeFleetKeepsNothing: in a large fleet the part of a small account that each VM
-// would keep is less than a token, which admits nothing anywhere (62 VMs: 24,157 refusals of
-// one day). There both slots are lent, and both wait for the loans of an earlier process.
+// TestLargeFleetKeepsNothing guards against refusals in a large fleet, where the kept slot of a
+// small account would be less than one token and admit nothing on any VM (24,157 refusals
+// in one day with 62 VMs). There both slots are lendable, and after a restart both wait for
+// the loans of the earlier process.
 func TestLargeFleetKeepsNothing(t *testing.T) {
 	for _, tt := range []struct {
 		vms, unsettled, kept int
-	}{{10, 1, 1}, {maxKeepers, 1, 1}, {maxKeepers + 1, 0, 0}, {62, 0, 0}} {
+	}{{10, 1, 1}, {maxFleetWithKeptSlots, 1, 1}, {maxFleetWithKeptSlots + 1, 0, 0}, {62, 0, 0}} {
 		r := newTestRegistry("vm-00", false)
-		r.set(registrations(tt.vms), 0)
+		r.setRows(registrations(tt.vms), 0)
 		if got := len(r.Holding().Slots); got != tt.unsettled {
-			t.Errorf("%d VMs: %d slots before it is settled, want %d", tt.vms, got, tt.unsettled)
+			t.Errorf("%d VMs: %d slots before the loans have ended, want %d", tt.vms, got, tt.unsettled)
 		}
-		r.endWait(true, second)
+		r.endLoanWait(true, second)
 		kept := 0
 		for _, s := range r.Holding().Slots {
 			if s.Kept {
 				kept++
 			}
 			if !s.New {
-				t.Errorf("%d VMs: settled, but slot %d waits", tt.vms, s.Index)
+				t.Errorf("%d VMs: slot %d is not usable at once although the loans have ended", tt.vms, s.Index)
 			}
 		}
 		if got := len(r.Holding().Slots); got != slotsPerVM || kept != tt.kept {
-			t.Errorf("%d VMs: %d slots, %d kept, want %d and %d", tt.vms, got, kept, slotsPerVM, tt.kept)
+			t.Errorf("%d VMs: %d slots, %d of them kept, want %d and %d", tt.vms, got, kept, slotsPerVM, tt.kept)
 		}
 	}
 }
 
-// TestColdBoundOverTheFleet: whatever VMs there are, and whenever each sends, a
-// cold target gets no more than its bound in any second.
+// TestColdBoundOverTheFleet checks that a cold target receives no more than its bound in any
+// second, for any number of VMs and any timing of their requests.
 func TestColdBoundOverTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 100).Draw(t, "VMs")
 		rate := rapid.Float64Range(0.5, 60).Draw(t, "rate")
 		vms := registrations(n)
 		l := &target.Live{Hash: rapid.Uint64().Draw(t, "target")}
-		sent := 0
+		fleetRequests := 0
 		for i := range vms {
 			r := newTestRegistry(vms[i].ID, true)
-			r.set(vms, 0)
+			r.setRows(vms, 0)
 			interval, ok := r.ColdInterval(l, rate)
 			if !ok {
 				continue
 			}
-			// The most that fits into a second that begins with a request.
-			sent += 1 + int(time.Second/interval)
+			// The most requests in a second that begins with a request.
+			fleetRequests += 1 + int(time.Second/interval)
 		}
-		if bound := rate*1.5 + 5; float64(sent) > bound {
-			t.Fatalf("%d requests in a second, bound %.1f", sent, bound)
+		if bound := rate*1.5 + 5; float64(fleetRequests) > bound {
+			t.Fatalf("fleet sent %d requests in a second, bound %.1f", fleetRequests, bound)
 		}
 	})
 }
 
-// TestRestartsKeepTheColdRate guards against processes that send a cold target a request at
-// once, although the ones before them have just done so.
+// TestRestartsKeepTheColdRate guards against restarted processes that exceed the rate of a cold
+// target by sending a request at once, shortly after their predecessors have done so.
 func TestRestartsKeepTheColdRate(t *testing.T) {
 	const (
-		rate  = 10.0
-		lives = 900 * time.Millisecond // of each process
+		rate            = 10.0
+		processLifetime = 900 * time.Millisecond // lifetime of each process
 	)
 	vms := registrations(11)
 	start := time.Now()
 	entry := target.Entry{Target: target.Target{ID: "t", FailureDomain: "fd"}, Pool: "s", ColdFor: time.Minute}
 	var sent []time.Time
 	for restart := range 10 {
-		began := start.Add(time.Duration(restart) * lives)
+		began := start.Add(time.Duration(restart) * processLifetime)
 		for i := range vms {
 			r := newTestRegistry(vms[i].ID, false)
-			r.set(vms, 0)
+			r.setRows(vms, 0)
 			l, _ := target.NewRegistry(nil, began).Upsert(entry, true, began)
 			interval, ok := r.ColdInterval(l, rate)
-			for at := began; ok && at.Before(began.Add(lives)); at = at.Add(10 * time.Millisecond) {
+			for at := began; ok && at.Before(began.Add(processLifetime)); at = at.Add(10 * time.Millisecond) {
 				if l.TakeCold(interval, at) {
 					sent = append(sent, at)
 				}
@@ -162,13 +164,14 @@
 			}
 		}
 		if bound := rate*1.5 + 5; float64(n) > bound {
-			t.Fatalf("%d requests in a second, bound %.1f", n, bound)
+			t.Fatalf("fleet sent %d requests within a second, bound %.1f", n, bound)
 		}
 	}
 }
 
-// TestFleetThatRestartsTogetherSharesTheBounds guards against VMs that start after all were
-// stopped and count only those that are back already.
+// TestFleetThatRestartsTogetherSharesTheBounds guards against shares that sum to more than a
+// limit after a stop of the whole fleet, because the VMs that start first count only those
+// that are already back.
 func TestFleetThatRestartsTogetherSharesTheBounds(t *testing.T) {
 	const n = 11
 	rows := registrations(n)
@@ -181,98 +184,98 @@
 		t.Helper()
 		sum := 0.0
 		for _, r := range fleet {
-			sum += 1 / float64(r.count())
+			sum += 1 / float64(r.sharingCount())
 		}
 		if sum > 1.000001 {
-			t.Errorf("%s: the parts sum to %.2f", when, sum)
+			t.Errorf("%s: the shares sum to %.2f, want at most 1", when, sum)
 		}
 	}
 	update := func() {
 		for _, r := range fleet {
-			r.set(rows, now)
+			r.setRows(rows, now)
 		}
 	}
 	for i := range n {
-		// The ones before have not heard of it.
+		// The VMs that started earlier have not read the new row yet.
 		rows[i].Left = false
 		fleet = append(fleet, newTestRegistry(rows[i].ID, false))
-		fleet[i].set(slices.Clone(rows), now)
+		fleet[i].setRows(slices.Clone(rows), now)
 		now += second / 10
 		check(fmt.Sprint(rows[i].ID, " starts"))
 	}
 	update()
 	now += 20 * second
 	update()
-	check("later")
-	// Those that do not come back leave their parts to the others.
+	check("all rows read")
+	// The shares of VMs that do not come back go to the others.
 	fleet = fleet[:6]
 	for i := 6; i < n; i++ {
 		rows[i].Left = true
 	}
 	update()
-	check("five leave")
+	check("five VMs leave")
 	now += clock.Time(shrinkDelay)
 	update()
 	check("their loans have ended")
-	if got := fleet[0].count(); got != 6 {
-		t.Errorf("%d VMs share the bounds, want 6", got)
+	if got := fleet[0].sharingCount(); got != 6 {
+		t.Errorf("%d VMs share the limits, want 6", got)
 	}
 }
 
-// TestRowsOfVMsThatLeftAreSwept: one VM removes the rows of those that do not come back, after
-// they had time to.
+// TestRowsOfVMsThatLeftAreSwept checks that exactly one VM removes the rows of VMs that have left,
+// and only after they had time to come back.
 func TestRowsOfVMsThatLeftAreSwept(t *testing.T) {
 	rows := registrations(4)
 	rows[0].Left, rows[2].Left = true, true
 	for i, want := range map[int][]string{1: {"vm-00", "vm-02"}, 3: nil} {
 		r := newTestRegistry(rows[i].ID, true)
-		r.set(rows, 0)
-		if got := r.stale(clock.Time(leftPeriod) - 1); len(got) != 0 {
-			t.Errorf("%s sweeps %v too early", rows[i].ID, got)
+		r.setRows(rows, 0)
+		if got := r.expiredRows(clock.Time(leftRowRetention) - 1); len(got) != 0 {
+			t.Errorf("%s removes %v too early", rows[i].ID, got)
 		}
 		var got []string
-		for _, v := range r.stale(clock.Time(leftPeriod)) {
+		for _, v := range r.expiredRows(clock.Time(leftRowRetention)) {
 			got = append(got, v.ID)
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("%s sweeps: %s", rows[i].ID, diff)
+			t.Errorf("rows that %s removes (-want +got):\n%s", rows[i].ID, diff)
 		}
 	}
-	// One that came back meanwhile starts anew.
+	// The retention restarts for a VM that came back and left again.
 	r := newTestRegistry("vm-01", true)
-	r.set(rows, 0)
-	r.set(registrations(4), second)
-	r.set(rows, 2*second)
-	if got := r.stale(clock.Time(leftPeriod)); len(got) != 0 {
-		t.Errorf("%v are swept that left again", got)
+	r.setRows(rows, 0)
+	r.setRows(registrations(4), second)
+	r.setRows(rows, 2*second)
+	if got := r.expiredRows(clock.Time(leftRowRetention)); len(got) != 0 {
+		t.Errorf("rows %v are removed too early after the VMs left again", got)
 	}
 }
 
-// TestUnknownFleetSharesNothing guards against VMs that start, have not read how many they are,
-// and each use a bound of the whole fleet.
+// TestUnknownFleetSharesNothing guards against starting VMs that each use a whole fleet-wide limit
+// because they have not read yet how many VMs there are.
 func TestUnknownFleetSharesNothing(t *testing.T) {
 	r := newTestRegistry("vm-00", false)
 	if got := r.RepeatLimit(); got.VMs != 0 {
-		t.Errorf("the floor of the repeats is divided by %d VMs", got.VMs)
+		t.Errorf("unknown fleet: the retry floor is divided by %d VMs, want 0", got.VMs)
 	}
 	if _, ok := r.ColdInterval(&target.Live{}, 50); ok {
-		t.Error("a cold target gets requests")
+		t.Error("unknown fleet: a cold target gets requests")
 	}
-	r.set(registrations(3)[1:], 0) // it has not registered yet; the others do not count it
+	r.setRows(registrations(3)[1:], 0) // this VM has not registered yet, so the others do not count it
 	if got := r.RepeatLimit(); got.VMs != 0 {
-		t.Errorf("not registered: the floor is divided by %d VMs", got.VMs)
+		t.Errorf("unregistered VM: the retry floor is divided by %d VMs, want 0", got.VMs)
 	}
-	r.set(registrations(3), 0)
+	r.setRows(registrations(3), 0)
 	if got := r.RepeatLimit(); got.VMs != 3 {
-		t.Errorf("three VMs: the floor is divided by %d", got.VMs)
+		t.Errorf("three VMs: the retry floor is divided by %d, want 3", got.VMs)
 	}
 	if _, ok := r.ColdInterval(&target.Live{}, 50); !ok {
 		t.Error("three VMs: a cold target gets no requests")
 	}
 }
 
-// TestStartTokensFitTheBound: two starts of the whole fleet in one window, with
-// nothing lost between, stay within what the platform allows an account.
+// TestStartTokensFitTheBound checks that two starts of the whole fleet within one window stay
+// within what the platform allows an account, even if no tokens are lost in between.
 func TestStartTokensFitTheBound(t *testing.T) {
 	r := newTestRegistry("vm-00", false)
 	b := settings.Bounds{QuotaOverage: 0.1, QuotaSlack: 20, QuotaWindow: settings.Duration{Duration: 5 * time.Second}}
@@ -280,12 +283,12 @@
 	for _, a := range []config.Account{{Rate: 1, Burst: 1}, {Rate: 50, Burst: 500}, {Rate: 900, Burst: 900}} {
 		limit := a.Rate*5 + a.Burst
 		if got, allowed := limit+2*r.startTokens(&a), limit*1.1+20; got > allowed {
-			t.Errorf("rate %v, burst %v: %v of %v allowed", a.Rate, a.Burst, got, allowed)
+			t.Errorf("rate %v, burst %v: admits %v requests, allowed are %v", a.Rate, a.Burst, got, allowed)
 		}
 	}
 	r.settings.Store(&settings.Edge{})
 	if got := r.startTokens(&config.Account{Rate: 100, Burst: 100}); got != 0 {
-		t.Errorf("%v tokens where the platform allows nothing beyond the limit", got)
+		t.Errorf("got %v start tokens although the platform allows no overage", got)
 	}
 }
 
@@ -303,20 +306,20 @@
 	}{
 		{"own region", member.View{Self: self, Peers: []member.Peer{peer(1, "east", member.Live, 0), peer(2, "west", member.Live, 0)}}, "east", []string{"vm-0", "vm-1"}},
 		{"another region", member.View{Self: self, Peers: []member.Peer{peer(1, "west", member.Live, 0)}}, "west", []string{"vm-1"}},
-		{"nobody there", member.View{Self: self, Peers: []member.Peer{peer(1, "east", member.Live, 0)}}, "south", []string{"vm-0", "vm-1"}},
+		{"no VM in the region", member.View{Self: self, Peers: []member.Peer{peer(1, "east", member.Live, 0)}}, "south", []string{"vm-0", "vm-1"}},
 		{"one missed a heartbeat", member.View{Self: self, Peers: []member.Peer{peer(1, "east", member.Live, 1)}}, "east", []string{"vm-0"}},
 		{"one is leaving, one is gone", member.View{Self: self, Peers: []member.Peer{peer(1, "east", member.Leaving, 0), peer(2, "east", member.Gone, 2)}}, "east", []string{"vm-0"}},
 		{"this one is leaving", member.View{Self: leaving, Peers: []member.Peer{peer(1, "east", member.Live, 0)}}, "east", []string{"vm-1"}},
 		{"all others are silent", member.View{Self: leaving, Peers: []member.Peer{peer(1, "east", member.Silent, 3)}}, "east", []string{"vm-0"}},
 	} {
 		if diff := cmp.Diff(tt.want, locate(&tt.view, tt.region)); diff != "" {
-			t.Errorf("%s: %s", tt.name, diff)
+			t.Errorf("%s (-want +got):\n%s", tt.name, diff)
 		}
 	}
 }
 
 func TestBehind(t *testing.T) {
-	var b behind
+	var b lagTimer
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
 	for _, tt := range []struct {
 		ms          int
@@ -330,11 +333,11 @@
 		{2000, 6, 7, false},
 		{3500, 6, 7, false},
 		{3600, 6, 7, true},
-		{4000, 6, 7, false}, // begins anew
+		{4000, 6, 7, false}, // the timer restarts after a kick
 		{5600, 6, 8, true},
 	} {
-		if got := b.kick(tt.own, tt.newest, at(tt.ms)); got != tt.want {
-			t.Errorf("at %d ms, own %d, newest %d: %v", tt.ms, tt.own, tt.newest, got)
+		if got := b.shouldKick(tt.own, tt.newest, at(tt.ms)); got != tt.want {
+			t.Errorf("at %d ms, own %d, newest %d: kick = %v, want %v", tt.ms, tt.own, tt.newest, got, tt.want)
 		}
 	}
 }
@@ -345,7 +348,7 @@
 		{State: member.Live, ConfigVersion: 4, ListVersion: 8},
 		{State: member.Silent, ConfigVersion: 99, ListVersion: 99},
 	}}
-	if config, list := newest(v); config != 4 || list != 9 {
-		t.Errorf("config %d, list %d", config, list)
+	if config, list := newestVersions(v); config != 4 || list != 9 {
+		t.Errorf("newest versions: config %d, list %d, want 4 and 9", config, list)
 	}
 }
--- a/pkg/edge/follow.go
+++ b/pkg/edge/follow.go
@@ -16,8 +16,9 @@
 	"crocusramp.dev/crocusramp/platform"
 )
 
-// follow keeps what the platform's tables say.
-func (d *Daemon) follow(ctx context.Context) {
+// watchTables starts watchers of the operators', the targets' and the fleet's table. They run
+// until ctx ends.
+func (d *Daemon) watchTables(ctx context.Context) {
 	watch := func(table string, apply func(platform.Update)) *platform.Watcher {
 		w := platform.NewWatcher(d.store, table, d.log, apply)
 		d.loop.Go(ctx, w.Run)
@@ -26,53 +27,55 @@
 	operators := watch(platform.OperatorTable, d.applyOperator)
 	targets := watch(platform.TargetTable, d.applyTargets(ctx))
 	watch(fleetTable, d.applyFleet(ctx))
-	d.loop.Go(ctx, func(ctx context.Context) { d.compare(ctx, operators, targets) })
+	d.loop.Go(ctx, func(ctx context.Context) { d.comparePeerVersions(ctx, operators, targets) })
 }
 
 const (
-	// comparePeriod is how often this VM's versions are compared with its peers'.
+	// comparePeriod is how often this VM's versions are compared with those of its peers.
 	comparePeriod = 500 * time.Millisecond
-	// behindFor is how long a peer may know more before this VM asks the store anew:
-	// longer than feeds gather changes.
-	behindFor = 1500 * time.Millisecond
+	// maxLag is how long a peer may have a newer version before this VM sends a new request
+	// to the store. It is longer than the time for which a feed batches changes.
+	maxLag = 1500 * time.Millisecond
 )
 
-// behind tells for how long another VM has known more.
-type behind struct{ since time.Time }
+// lagTimer measures for how long a peer has had a newer version than this VM.
+type lagTimer struct{ since time.Time }
 
-// kick reports whether that is long enough; it then begins anew.
-func (b *behind) kick(own, newest int64, now time.Time) bool {
+// shouldKick reports whether this VM has lagged behind for longer than maxLag. It then restarts
+// the timer.
+func (b *lagTimer) shouldKick(own, newest int64, now time.Time) bool {
 	switch {
 	case own >= newest:
 		b.since = time.Time{}
 	case b.since.IsZero():
 		b.since = now
-	case now.Sub(b.since) > behindFor:
+	case now.Sub(b.since) > maxLag:
 		b.since = time.Time{}
 		return true
 	}
 	return false
 }
 
-// compare kicks a feed where a live peer knows more for some time: the store may have
-// taken this VM's call and never answer it.
-func (d *Daemon) compare(ctx context.Context, operators, targets *platform.Watcher) {
-	var config, list behind
+// comparePeerVersions restarts a watcher's store request when a live peer has had a newer
+// version for longer than maxLag: the store may have accepted the pending request and never
+// answer it.
+func (d *Daemon) comparePeerVersions(ctx context.Context, operators, targets *platform.Watcher) {
+	var config, list lagTimer
 	every(ctx, comparePeriod, func() {
-		newestConfig, newestList := newest(d.members.View())
-		if config.kick(d.Snapshot().Version, newestConfig, time.Now()) {
-			d.log.Warn().Int64("config", d.Snapshot().Version).Int64("peers", newestConfig).Msg("a peer has a newer configuration; the store is asked anew")
+		newestConfig, newestList := newestVersions(d.members.View())
+		if config.shouldKick(d.Snapshot().Version, newestConfig, time.Now()) {
+			d.log.Warn().Int64("config", d.Snapshot().Version).Int64("peers", newestConfig).Msg("a peer has a newer configuration; sending a new request to the store")
 			operators.Kick()
 		}
-		if known := d.listKnown.Load(); list.kick(known, newestList, time.Now()) {
-			d.log.Warn().Int64("list", known).Int64("peers", newestList).Msg("a peer has a newer list of targets; the store is asked anew")
+		if known := d.listKnown.Load(); list.shouldKick(known, newestList, time.Now()) {
+			d.log.Warn().Int64("list", known).Int64("peers", newestList).Msg("a peer has a newer list of targets; sending a new request to the store")
 			targets.Kick()
 		}
 	})
 }
 
-// newest returns the newest versions that live peers told.
-func newest(view *member.View) (config, list int64) {
+// newestVersions returns the newest versions that live peers reported.
+func newestVersions(view *member.View) (config, list int64) {
 	for i := range view.Peers {
 		if p := &view.Peers[i]; p.State == member.Live {
 			config, list = max(config, p.ConfigVersion), max(list, p.ListVersion)
@@ -81,7 +84,7 @@
 	return config, list
 }
 
-// applyOperator takes in what operators wrote.
+// applyOperator applies changes of the operators' table: configurations and evacuations.
 func (d *Daemon) applyOperator(u platform.Update) {
 	changed := false
 	for _, c := range u.Changes {
@@ -98,26 +101,27 @@
 	if changed {
 		d.targets.Publish(0)
 	}
-	d.learn()
+	d.markLoaded()
 }
 
-// learn closes known where all that requests need has been read.
-func (d *Daemon) learn() {
+// markLoaded closes loaded once the configuration, the targets and the VMs have been read.
+func (d *Daemon) markLoaded() {
 	if d.state.Load() != nil && d.targetsRead.Load() && d.fleetRead.Load() {
-		d.knownOnce.Do(func() { close(d.known) })
+		d.loadedOnce.Do(func() { close(d.loaded) })
 	}
 }
 
-// applyConfig puts a configuration in force. Versions never go back.
+// applyConfig puts a configuration in force if it can be decoded and its version is newer than
+// the present one's. It reports whether it did.
 func (d *Daemon) applyConfig(c platform.Change) bool {
 	next, err := platform.DecodeConfig(c.Value)
 	if err != nil {
-		d.log.Error().Err(err).Int64("row", c.Version).Msg("the configuration cannot be read; the one before stays in force")
+		d.log.Error().Err(err).Int64("row", c.Version).Msg("cannot decode the configuration; keeping the previous one")
 		return false
 	}
 	old := d.state.Load()
 	if old != nil && next.Version <= old.Version {
-		d.log.Warn().Int64("config", next.Version).Int64("in_force", old.Version).Msg("an older configuration is passed over")
+		d.log.Warn().Int64("config", next.Version).Int64("in_force", old.Version).Msg("ignoring an older configuration")
 		return false
 	}
 	d.targets.SetServices(next.Services)
@@ -128,7 +132,7 @@
 	return true
 }
 
-// logLimits tells which client accounts' limits a configuration changes.
+// logLimits logs the client accounts whose limits a configuration changes.
 func (d *Daemon) logLimits(next *config.Config, old *ingress.State) {
 	for name, a := range next.Accounts {
 		if old != nil {
@@ -140,14 +144,14 @@
 	}
 }
 
-// applyTargets takes in what targets wrote.
+// applyTargets returns a function that applies changes of the targets' table.
 func (d *Daemon) applyTargets(ctx context.Context) func(platform.Update) {
 	first := true
 	return func(u platform.Update) {
 		now := time.Now()
 		var removed []string
 		returned := false
-		for _, c := range latest(u.Changes) {
+		for _, c := range lastChanges(u.Changes) {
 			if c.Removed {
 				removed = append(removed, c.Key)
 				returned = returned || c.Returned
@@ -161,18 +165,18 @@
 		if len(u.Changes) > 0 || first {
 			d.targets.Publish(u.Version)
 		}
-		d.noteList(u)
+		d.recordListVersions(u)
 		if first {
 			first = false
 			d.targetsRead.Store(true)
-			d.learn()
+			d.markLoaded()
 		}
 	}
 }
 
-// latest returns the last change of each key. An entry that lapsed and came back while
-// the store could not be asked arrives as both, in one answer.
-func latest(changes []platform.Change) []platform.Change {
+// lastChanges returns the last change of each key. An entry that expired and was written again
+// while the store was unreachable arrives as two changes in one response.
+func lastChanges(changes []platform.Change) []platform.Change {
 	last := map[string]int{}
 	for i, c := range changes {
 		last[c.Key] = i
@@ -186,10 +190,11 @@
 	return out
 }
 
-// noteList keeps up to which version the list is known, and its newest change.
-func (d *Daemon) noteList(u platform.Update) {
+// recordListVersions records the version up to which the list has been read, and the version of
+// its newest change.
+func (d *Daemon) recordListVersions(u platform.Update) {
 	for _, c := range u.Changes {
-		// A removal that was found by reading the whole table has no version.
+		// A removal that was detected by reading the whole table has no version.
 		if !c.Removed || !u.Full {
 			d.listNewest.Store(max(d.listNewest.Load(), c.Version))
 		}
@@ -200,7 +205,7 @@
 func (d *Daemon) applyTarget(c platform.Change, first bool, now time.Time) {
 	e, err := platform.DecodeTarget(c.Key, c.Value)
 	if err != nil {
-		d.log.Warn().Err(err).Str("target", c.Key).Int64("row", c.Version).Msg("an entry is passed over")
+		d.log.Warn().Err(err).Str("target", c.Key).Int64("row", c.Version).Msg("ignoring an invalid target entry")
 		return
 	}
 	l, fresh := d.targets.Upsert(e, first, now)
@@ -217,7 +222,7 @@
 		return
 	}
 	d.log.Warn().Int("targets", len(r.Held)).Bool("store_was_away", returned).Dur("for_ms", r.Until.Sub(now)).
-		Msg("targets vanished from the list together; they are used for a while")
+		Msg("several targets disappeared from the list at once; keeping them in use for now")
 	time.AfterFunc(time.Until(r.Until), func() {
 		if ctx.Err() != nil {
 			return
@@ -234,7 +239,8 @@
 	d.log.Info().Str("target", l.ID).Str("address", l.Address).Int("running", l.Running()).Msg("target gone")
 }
 
-// applyFleet takes in which VMs are registered, and registers this one.
+// applyFleet returns a function that applies changes of the fleet's table, and registers this
+// VM when its row is missing or outdated.
 func (d *Daemon) applyFleet(ctx context.Context) func(platform.Update) {
 	first := true
 	return func(u platform.Update) {
@@ -248,41 +254,42 @@
 			}
 			v, err := decodeRegistration(c.Row)
 			if err != nil || v.ID != c.Key {
-				d.log.Warn().Err(err).Str("vm", c.Key).Msg("a registration is passed over")
+				d.log.Warn().Err(err).Str("vm", c.Key).Msg("ignoring an invalid VM registration")
 				continue
 			}
 			d.vms[c.Key] = v
 		}
-		if !d.vms[d.fleet.self.ID].same(d.fleet.self) && !d.leaving.Load() {
+		if !d.vms[d.fleet.self.ID].equal(d.fleet.self) && !d.leaving.Load() {
 			d.register(ctx)
 		}
-		d.fleet.set(sorted(d.vms), d.clock.Now())
+		d.fleet.setRows(sorted(d.vms), d.clock.Now())
 		if len(u.Changes) > 0 {
-			d.log.Info().Int("vms", len(list(&d.fleet.vms))).Int("sharing", d.fleet.count()).Int64("row", u.Version).Msg("registered VMs")
+			d.log.Info().Int("vms", len(loadRegistrations(&d.fleet.vms))).Int("sharing", d.fleet.sharingCount()).Int64("row", u.Version).Msg("registered VMs")
 		}
 		if first {
 			first = false
 			d.fleetRead.Store(true)
-			d.learn()
-			d.loop.Go(ctx, d.settle)
+			d.markLoaded()
+			d.loop.Go(ctx, d.awaitOwnShare)
 		}
 	}
 }
 
-// settle waits until no other VM may use what an earlier process of this VM
-// lent.
-func (d *Daemon) settle(ctx context.Context) {
+// awaitOwnShare waits until no other VM uses a loan from an earlier process of this VM, or until
+// the wait fails. This VM then uses its whole share of the limits.
+func (d *Daemon) awaitOwnShare(ctx context.Context) {
 	if d.fleet.settled.Load() {
 		return
 	}
 	started := time.Now()
 	vms, err := d.fleet.VMs(ctx)
 	settled := err == nil && d.awaitSettled(ctx, vms)
-	d.fleet.endWait(settled, d.clock.Now())
-	d.log.Info().Bool("settled", settled).Int("vms", len(vms)).Dur("after_ms", time.Since(started)).Msg("own part of the limits")
+	d.fleet.endLoanWait(settled, d.clock.Now())
+	d.log.Info().Bool("settled", settled).Int("vms", len(vms)).Dur("after_ms", time.Since(started)).Msg("now using this VM's whole share of the limits")
 }
 
-// awaitSettled waits for all that divides bounds.
+// awaitSettled waits for all limiters concurrently. It reports whether the loans of earlier
+// processes have ended in all of them.
 func (d *Daemon) awaitSettled(ctx context.Context, vms []storage.VM) bool {
 	var waits sync.WaitGroup
 	var late atomic.Bool
@@ -297,14 +304,14 @@
 	return !late.Load()
 }
 
-// decodeRegistration reads a row of the fleet's table.
+// decodeRegistration decodes a VM's row of the fleet's table.
 func decodeRegistration(row platform.Row) (Registration, error) {
 	v := Registration{version: row.Version}
 	err := json.Unmarshal(row.Value, &v)
 	return v, err
 }
 
-// row is the registration in the fleet's table.
+// row encodes the registration as a row of the fleet's table.
 func (v Registration) row() platform.Row {
 	value, err := json.Marshal(v)
 	if err != nil {
@@ -313,11 +320,12 @@
 	return platform.Row{Table: fleetTable, Key: v.ID, Value: value}
 }
 
-// sweepFleet removes the rows of VMs that stopped and have not come back, until ctx ends.
+// sweepFleet periodically removes the rows of VMs that left and have not come back, until ctx
+// ends.
 func (d *Daemon) sweepFleet(ctx context.Context) {
 	every(ctx, sweepPeriod, func() {
 		var t platform.Transaction
-		for _, v := range d.fleet.stale(d.clock.Now()) {
+		for _, v := range d.fleet.expiredRows(d.clock.Now()) {
 			t.Expect = append(t.Expect, platform.Row{Table: fleetTable, Key: v.ID, Version: v.version})
 			t.Remove = append(t.Remove, platform.Row{Table: fleetTable, Key: v.ID})
 		}
@@ -325,14 +333,15 @@
 			return
 		}
 		if _, err := d.store.Transact(ctx, t); err != nil {
-			d.log.Warn().Err(err).Int("vms", len(t.Remove)).Msg("removing the rows of VMs that left failed")
+			d.log.Warn().Err(err).Int("vms", len(t.Remove)).Msg("failed to remove the rows of VMs that left")
 			return
 		}
 		d.log.Info().Int("vms", len(t.Remove)).Msg("removed the rows of VMs that left")
 	})
 }
 
-// register writes this VM's row. A failure is settled by the next update.
+// register writes this VM's row, with a few retries. If all fail, the next update of the fleet's
+// table triggers another call.
 func (d *Daemon) register(ctx context.Context) {
 	row := d.fleet.self.row()
 	var err error
@@ -342,7 +351,7 @@
 			d.vms[d.fleet.self.ID] = d.fleet.self
 			return
 		}
-		d.log.Warn().Err(err).Msg("registering this VM failed")
+		d.log.Warn().Err(err).Msg("failed to register this VM")
 		select {
 		case <-time.After(registerPause):
 		case <-ctx.Done():
@@ -351,10 +360,10 @@
 }
 
 const (
-	// registerAttempts and registerPause bound how long the fleet's table is not
-	// followed while this VM cannot register.
+	// registerAttempts and registerPause bound how long a failing registration blocks the
+	// watcher of the fleet's table.
 	registerAttempts = 5
 	registerPause    = 200 * time.Millisecond
-	// sweepPeriod is how often rows are looked for that VMs have left behind.
+	// sweepPeriod is how often the rows of VMs that left are checked for removal.
 	sweepPeriod = 10 * time.Second
 )
--- a/pkg/edge/limits.go
+++ b/pkg/edge/limits.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// limiterName names the service that divides targets' limits among VMs.
+	// limiterName is the name of the service that divides targets' limits among VMs.
 	limiterName = "target_limit"
-	// minTargetRate is how many requests a second the fleet sends to a target whatever it
-	// names, so that it hears within two seconds when the limit ends, and minLimitBurst how many
-	// more may come at once then. The platform allows 5 requests in 4 s beyond the limit.
+	// minTargetRate is how many requests a second the fleet may send to a target even if the
+	// target announces a lower limit, so that the fleet learns within two seconds when the
+	// limit ends. minLimitBurst is the additional burst at that rate. The platform allows 5
+	// requests in 4 s beyond the limit.
 	minTargetRate = 0.75
 	minLimitBurst = 1
-	// maxTargetRate is a limit that no target comes near; larger ones are taken for it.
+	// maxTargetRate is far above the rate of any target. Larger limits are lowered to it.
 	maxTargetRate = 1e6
-	// limitBurstTime and limitBurst say how many requests may come at once: those of a second
-	// and some. The platform allows half as much again as the limit in 4 s, and 5.
+	// The burst of a target's limit is the requests of limitBurstTime at its rate plus
+	// limitBurst. The platform allows 1.5 times the limit in 4 s, plus 5 requests.
 	limitBurstTime = time.Second
 	limitBurst     = 3
-	// maxReportedLimits bounds how many limits a heartbeat's answer reports.
+	// maxReportedLimits is the most limits that a heartbeat response reports.
 	maxReportedLimits = 32
 )
 
-// targetLimits holds the limits that targets name as accounts of a limit.Service, which
-// divides each among the VMs. It implements config.Source and ingress.TargetLimiter.
+// targetLimits holds the limits that targets announce, each as an account of a limit.Service
+// that divides it among the VMs. It implements config.Source and ingress.TargetLimiter.
 type targetLimits struct {
-	mu       sync.Mutex // serializes changes of accounts
+	mu       sync.Mutex // serializes updates of accounts
 	accounts atomic.Pointer[config.Config]
 	service  *limit.Service
 }
@@ -52,7 +53,7 @@
 	return config.Snapshot{Config: t.accounts.Load(), Fresh: true}
 }
 
-// limitAccount is what the fleet may send to a target.
+// limitAccount returns the account for the requests that the fleet may send to a target.
 func limitAccount(l *target.Live, named target.Limit) *config.Account {
 	rate, burst := min(named.Rate, maxTargetRate), limitBurst
 	if rate < minTargetRate {
@@ -61,26 +62,26 @@
 	return &config.Account{Name: l.Incarnation(), Rate: rate, Burst: rate*limitBurstTime.Seconds() + float64(burst), Regions: []string{l.Region}}
 }
 
-// near returns the region of a limited target.
-func (t *targetLimits) near(name string) string {
+// regionOf returns the region of a limited target by the name of its account.
+func (t *targetLimits) regionOf(name string) string {
 	if a := t.accounts.Load().Accounts[name]; a != nil {
 		return a.Regions[0]
 	}
 	return ""
 }
 
-// Admit counts a request to a target that names a limit.
+// Admit counts a request to a target that announces a limit. It may ask another VM for a token.
 func (t *targetLimits) Admit(ctx context.Context, l *target.Live, named target.Limit, spare float64) limit.Decision {
-	return t.service.AdmitSparing(ctx, t.set(l, named), spare)
+	return t.service.AdmitSparing(ctx, t.upsert(l, named), spare)
 }
 
-// AdmitLocally does so without asking another VM.
+// AdmitLocally is Admit without asking another VM.
 func (t *targetLimits) AdmitLocally(l *target.Live, named target.Limit, spare float64) limit.Decision {
-	return t.service.AdmitLocally(t.set(l, named), spare)
+	return t.service.AdmitLocally(t.upsert(l, named), spare)
 }
 
-// set keeps the account of a limited target and returns its name.
-func (t *targetLimits) set(l *target.Live, named target.Limit) string {
+// upsert creates or updates the account of a limited target and returns the account's name.
+func (t *targetLimits) upsert(l *target.Live, named target.Limit) string {
 	a := limitAccount(l, named)
 	if old := t.accounts.Load().Accounts[a.Name]; old != nil && old.Rate == a.Rate {
 		return a.Name
@@ -89,12 +90,13 @@
 	defer t.mu.Unlock()
 	next := maps.Clone(t.accounts.Load().Accounts)
 	next[a.Name] = a
-	t.store(next)
+	t.storeAccounts(next)
 	return a.Name
 }
 
-// follow makes the accounts those of the limited targets.
-func (t *targetLimits) follow(all []*target.Live) {
+// syncAccounts replaces the accounts by those of the targets that announce a limit. Unchanged
+// accounts are kept as they are.
+func (t *targetLimits) syncAccounts(all []*target.Live) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.accounts.Load().Accounts
@@ -114,34 +116,34 @@
 		next[a.Name] = a
 	}
 	if changed || len(next) != len(old) {
-		t.store(next)
+		t.storeAccounts(next)
 	}
 }
 
-func (t *targetLimits) store(accounts map[string]*config.Account) {
+func (t *targetLimits) storeAccounts(accounts map[string]*config.Account) {
 	c := config.Empty()
 	c.Accounts = accounts
 	t.accounts.Store(c)
 }
 
-// observedLimits returns the limits that targets' answers told this VM; of many, those that
-// changed last.
+// observedLimits returns the limits that targets announced in responses to this VM. If there are
+// more than maxReportedLimits, it returns those that changed last.
 func observedLimits(all []*target.Live, now time.Time) []member.TargetLimit {
 	type observed struct {
 		member.TargetLimit
-		lasts time.Duration
+		unchangedFor time.Duration
 	}
 	var list []observed
 	for _, l := range all {
-		named, lasts, age, ok := l.LimitObserved(now)
+		named, unchangedFor, age, ok := l.LimitObserved(now)
 		if !ok {
 			continue
 		}
 		at := now.Add(-age)
-		list = append(list, observed{member.TargetLimit{Target: l.ID, Born: l.Born, Named: named.Named, Rate: named.Rate, Earliest: at, Latest: at}, lasts})
+		list = append(list, observed{member.TargetLimit{Target: l.ID, Born: l.Born, Named: named.Named, Rate: named.Rate, Earliest: at, Latest: at}, unchangedFor})
 	}
 	slices.SortFunc(list, func(a, b observed) int {
-		return cmp.Or(cmp.Compare(a.lasts, b.lasts), cmp.Compare(a.Target, b.Target))
+		return cmp.Or(cmp.Compare(a.unchangedFor, b.unchangedFor), cmp.Compare(a.Target, b.Target))
 	})
 	var out []member.TargetLimit
 	for _, l := range list[:min(len(list), maxReportedLimits)] {
@@ -150,8 +152,9 @@
 	return out
 }
 
-// followLimits takes in the limits that the other VMs observed, and keeps what this VM reports.
-func (d *Daemon) followLimits(now time.Time) {
+// syncTargetLimits applies the limits that the other VMs observed, and updates the limits that
+// this VM reports.
+func (d *Daemon) syncTargetLimits(now time.Time) {
 	view := d.members.View()
 	for i := range view.Peers {
 		p := &view.Peers[i]
@@ -166,6 +169,6 @@
 	}
 	all := d.targets.All()
 	observed := observedLimits(all, now)
-	d.observed.Store(&observed)
-	d.targetLimits.follow(all)
+	d.reportedLimits.Store(&observed)
+	d.targetLimits.syncAccounts(all)
 }
--- a/pkg/edge/limits_test.go
+++ b/pkg/edge/limits_test.go
@@ -8,81 +8,81 @@
 	"crocusramp.dev/crocusramp/pkg/target"
 )
 
-// TestLimitsOfTargetsAreLentWhole guards against limits of which each VM keeps a part that is
-// too small to admit a request.
+// TestLimitsOfTargetsAreLentWhole guards against limits of targets that admit no request because
+// each VM keeps a share that is smaller than one request.
 func TestLimitsOfTargetsAreLentWhole(t *testing.T) {
 	r := newTestRegistry("vm-00", false)
-	r.set(registrations(3), 0)
-	if got := (allLent{r}).Holding(); len(got.Slots) != 0 || got.Total != 3*slotsPerVM {
-		t.Errorf("holds %+v while others may use what an earlier process lent", got)
+	r.setRows(registrations(3), 0)
+	if got := (lendableHolder{r}).Holding(); len(got.Slots) != 0 || got.Total != 3*slotsPerVM {
+		t.Errorf("VM holds %+v while others may use what an earlier process lent", got)
 	}
-	r.endWait(true, second)
-	got := allLent{r}.Holding()
+	r.endLoanWait(true, second)
+	got := lendableHolder{r}.Holding()
 	if len(got.Slots) != slotsPerVM || got.Total != 3*slotsPerVM {
-		t.Fatalf("holds %+v, want its part of three", got)
+		t.Fatalf("VM holds %+v, want the share of one of three VMs", got)
 	}
 	for _, s := range got.Slots {
 		if s.Kept || !s.New {
-			t.Errorf("slot %+v is kept, or not used at once", s)
+			t.Errorf("slot %+v is kept or is not usable at once", s)
 		}
 	}
 	r = newTestRegistry("vm-00", false)
-	r.set(registrations(3), 0)
-	r.endWait(false, second)
-	for _, s := range (allLent{r}).Holding().Slots {
+	r.setRows(registrations(3), 0)
+	r.endLoanWait(false, second)
+	for _, s := range (lendableHolder{r}).Holding().Slots {
 		if s.New {
-			t.Errorf("slot %+v is used at once, though others may use it", s)
+			t.Errorf("slot %+v is usable at once although others may use it", s)
 		}
 	}
 }
 
-// TestLimitAccounts guards against limits whose burst goes beyond what the platform's rule
-// allows in its window, and against targets that are never asked again.
+// TestLimitAccounts guards against accounts that admit more than the platform's rule allows in its
+// window, and against accounts that admit nothing, so that a target is never asked again.
 func TestLimitAccounts(t *testing.T) {
 	const window, factor, slack = 4.0, 1.5, 5.0
 	for _, rate := range []float64{0, 0.01, 0.5, 1, 5.6, 40, 1e6, 1e300} {
 		a := limitAccount(&target.Live{}, target.Limit{Rate: rate, Named: true})
 		if a.Rate <= 0 || a.Rate > maxTargetRate {
-			t.Errorf("limit %v: %v a second", rate, a.Rate)
+			t.Errorf("limit %v: account has rate %v, want above 0 and at most %v", rate, a.Rate, maxTargetRate)
 		}
 		if most, allowed := a.Burst+a.Rate*window, factor*rate*window+slack; most > allowed {
-			t.Errorf("limit %v: %v requests in %v s, %v allowed", rate, most, window, allowed)
+			t.Errorf("limit %v: account admits %v requests in %v s, allowed are %v", rate, most, window, allowed)
 		}
 	}
 }
 
-// TestAccountsFollowTheLimits guards against accounts that stay after a limit has ended, and
-// against ones that are made anew while nothing changes: their buckets would be, too.
+// TestAccountsFollowTheLimits guards against accounts that stay after a limit has ended, and against
+// accounts that are recreated although nothing changed, which would reset their token buckets.
 func TestAccountsFollowTheLimits(t *testing.T) {
 	now := time.Now()
 	l := &target.Live{Target: target.Target{ID: "i-1", Region: "east"}, Born: 7}
 	other := &target.Live{Target: target.Target{ID: "i-2", Region: "west"}}
 	limits := newTargetLimits()
 	l.LimitNamed(5, now)
-	limits.follow([]*target.Live{l, other})
+	limits.syncAccounts([]*target.Live{l, other})
 	first := limits.Snapshot().Accounts[l.Incarnation()]
-	if first == nil || first.Rate != 5 || limits.near(l.Incarnation()) != "east" || len(limits.Snapshot().Accounts) != 1 {
-		t.Fatalf("accounts %v", limits.Snapshot().Accounts)
+	if first == nil || first.Rate != 5 || limits.regionOf(l.Incarnation()) != "east" || len(limits.Snapshot().Accounts) != 1 {
+		t.Fatalf("accounts %v, want one with rate 5 in region east", limits.Snapshot().Accounts)
 	}
-	limits.follow([]*target.Live{l, other})
-	limits.set(l, l.Limit())
+	limits.syncAccounts([]*target.Live{l, other})
+	limits.upsert(l, l.Limit())
 	if limits.Snapshot().Accounts[l.Incarnation()] != first {
-		t.Error("the account was made anew")
+		t.Error("the account was recreated although the limit did not change")
 	}
 	l.LimitNamed(2, now.Add(time.Second))
-	limits.set(l, l.Limit())
+	limits.upsert(l, l.Limit())
 	if got := limits.Snapshot().Accounts[l.Incarnation()].Rate; got != 2 {
-		t.Errorf("the limit fell to 2, the account has %v", got)
+		t.Errorf("account has rate %v after the limit fell to 2", got)
 	}
 	l.LimitUnnamed(now.Add(2*time.Second), now.Add(3*time.Second))
-	limits.follow([]*target.Live{l, other})
+	limits.syncAccounts([]*target.Live{l, other})
 	if n := len(limits.Snapshot().Accounts); n != 0 {
-		t.Errorf("%d accounts after the limit has ended", n)
+		t.Errorf("%d accounts are left after the limit has ended", n)
 	}
 }
 
-// TestHeartbeatsReportTheNewestLimits guards against heartbeats that grow with the number of
-// limited targets, and against news that does not get through.
+// TestHeartbeatsReportTheNewestLimits guards against heartbeats that grow with the number of limited
+// targets, and against heartbeats that omit the latest changes.
 func TestHeartbeatsReportTheNewestLimits(t *testing.T) {
 	now := time.Now()
 	var all []*target.Live
@@ -94,6 +94,6 @@
 	all[0].LimitNamed(4, now.Add(time.Second))
 	reported := observedLimits(all, now.Add(2*time.Second))
 	if len(reported) != maxReportedLimits || reported[0].Target != "i-0" || reported[0].Rate != 4 || reported[1].Target != fmt.Sprint("i-", len(all)-1) {
-		t.Errorf("%d reported, the first ones %+v", len(reported), reported[:2])
+		t.Errorf("%d limits reported, want %d with the latest changes first; the first two are %+v", len(reported), maxReportedLimits, reported[:2])
 	}
 }
--- a/pkg/edge/main.go
+++ b/pkg/edge/main.go
@@ -15,7 +15,8 @@
 
 // Run runs `crocusrampd edge` until ctx ends.
 func Run(ctx context.Context, c *daemon.EdgeCommand, stdout io.Writer) error {
-	// Until the process exits: the default action would cut what a stop still serves.
+	// SIGHUP is caught until the process exits: its default action would kill the process
+	// while a graceful stop still serves requests.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -28,7 +29,7 @@
 		return nil
 	}
 	reload := make(chan struct{}, 1)
-	go passOn(ctx, hangups, reload)
+	go forwardReloads(ctx, hangups, reload)
 	out := telemetry.NewAsyncWriter(stdout)
 	defer out.Close()
 	log, err := telemetry.NewDecisionLogger(out, telemetry.LogConfig{Level: s.Log.Level, Text: s.Log.Format == "text", VM: s.VM.ID})
@@ -42,8 +43,9 @@
 	return d.Run(ctx, reload)
 }
 
-// passOn turns signals into reloads, of which one may wait.
-func passOn(ctx context.Context, hangups <-chan os.Signal, reload chan<- struct{}) {
+// forwardReloads turns signals into reload requests. Signals that arrive while a reload is
+// pending are merged into it.
+func forwardReloads(ctx context.Context, hangups <-chan os.Signal, reload chan<- struct{}) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/pkg/edge/operators.go
+++ b/pkg/edge/operators.go
@@ -15,11 +15,11 @@
 	"crocusramp.dev/crocusramp/pkg/operator"
 )
 
-// errOwned answers operators' changes while the platform holds the configuration.
-var errOwned = twirp.NewError(twirp.FailedPrecondition,
+// errReadOnly is the answer to an operator's change: the platform owns the configuration.
+var errReadOnly = twirp.NewError(twirp.FailedPrecondition,
 	"the platform owns the configuration: change it in the platform's store; this API only shows it")
 
-// readOnly shows the configuration in force and accepts no change. It implements
+// readOnly serves the configuration in force and rejects changes. It implements
 // operator.Feed and operator.StatusSource.
 type readOnly struct{ d *Daemon }
 
@@ -27,16 +27,18 @@
 
 func (r readOnly) Snapshot() config.Snapshot { return r.d.Snapshot() }
 
-func (r readOnly) Propose(context.Context, feed.Build, int64) (int64, error) { return 0, errOwned }
+func (r readOnly) Propose(context.Context, feed.Build, int64) (int64, error) { return 0, errReadOnly }
 
-func (r readOnly) History(context.Context, int64, int) ([]config.Change, error) { return nil, errOwned }
+func (r readOnly) History(context.Context, int64, int) ([]config.Change, error) {
+	return nil, errReadOnly
+}
 
-// Status reports the fleet as this VM knows it.
+// Status reports the state of the fleet as seen by this VM.
 func (r readOnly) Status(context.Context) (*operatorpb.StatusResponse, error) {
 	d := r.d
 	view := d.members.View()
 	self := view.Self
-	d.describe(&self)
+	d.fillStatus(&self)
 	vms := append([]member.Peer{self}, view.Peers...)
 	slices.SortFunc(vms, func(a, b member.Peer) int { return strings.Compare(a.ID, b.ID) })
 	out := &operatorpb.StatusResponse{Vm: d.self.ID, Vms: operator.VMStatus(vms)}
--- a/pkg/edge/probe.go
+++ b/pkg/edge/probe.go
@@ -14,15 +14,17 @@
 )
 
 const (
-	// probePeriod is how often a suspect target is asked; probes are priced.
+	// probePeriod is the mean time between two probes of a suspect target. Probes are
+	// not sent more often because each has a cost.
 	probePeriod = 700 * time.Millisecond
-	// probeTimeout bounds a probe, which may wait for a slot.
+	// probeTimeout bounds a probe, including a wait for a slot of the target.
 	probeTimeout = 1500 * time.Millisecond
-	// probeBodyBytes bounds what is read of a probe's answer.
+	// probeBodyBytes is the most that is read of a probe's response body.
 	probeBodyBytes = 4 << 10
 )
 
-// probeSuspects asks the suspect targets whether they are well, until ctx ends.
+// probeSuspects periodically probes the health endpoints of the suspect targets, until ctx
+// ends.
 func (d *Daemon) probeSuspects(ctx context.Context) {
 	for {
 		for _, l := range d.targets.Suspects(time.Now()) {
@@ -36,7 +38,8 @@
 	}
 }
 
-// probe asks one target and clears it where it answers as itself.
+// probe sends one health request to a target and clears its suspect state if the target is
+// healthy and is still the expected instance.
 func (d *Daemon) probe(ctx context.Context, l *target.Live) {
 	state := d.state.Load()
 	if state == nil || state.Services[l.Pool] == nil {
@@ -62,13 +65,13 @@
 	if info.Limit.Named && info.InstanceID == l.ID {
 		l.LimitNamed(info.Limit.Rate, time.Now())
 	}
-	if mine := info.InstanceID == l.ID || (info.InstanceID == "" && !info.OtherInstance); mine {
+	if fromThisTarget := info.InstanceID == l.ID || (info.InstanceID == "" && !info.OtherInstance); fromThisTarget {
 		if info.Leaving && l.SetLeaving() {
 			d.log.Info().Str("target", l.ID).Msg("target says that it leaves")
 		}
 		l.BackOff(info.RetryAfter, time.Now())
 	}
-	// A target that is full says so without saying who it is.
+	// A target without a free slot refuses the probe without an instance ID.
 	full := info.NotRun && !info.OtherInstance && info.InstanceID == ""
 	switch {
 	case copyErr != nil:
@@ -78,6 +81,6 @@
 		d.log.Info().Str("target", l.ID).Str("now", info.InstanceID).Msg("another target has the address")
 	case resp.StatusCode == http.StatusOK || full:
 		l.Cleared(info.ColdFor, time.Now())
-		d.log.Info().Str("target", l.ID).Dur("cold_for_ms", info.ColdFor).Msg("target is well again")
+		d.log.Info().Str("target", l.ID).Dur("cold_for_ms", info.ColdFor).Msg("target is healthy again")
 	}
 }
--- a/pkg/edge/reload.go
+++ b/pkg/edge/reload.go
@@ -8,11 +8,11 @@
 	"crocusramp.dev/crocusramp/pkg/settings"
 )
 
-// settingsPeriod is how often the settings file is looked at without a signal.
+// settingsPeriod is how often the settings file is checked for changes without a signal.
 const settingsPeriod = time.Second
 
-// watchSettings takes in changes of the settings file: after a signal, and at
-// the latest with the next look.
+// watchSettings reloads the settings file after a signal and every settingsPeriod, until
+// ctx ends.
 func (d *Daemon) watchSettings(ctx context.Context, reload <-chan struct{}) {
 	problem := ""
 	for {
@@ -26,13 +26,13 @@
 	}
 }
 
-// reloadSettings takes over the settings file where it has changed. It returns
-// what is wrong with the file, and logs that once.
+// reloadSettings applies the settings file if it has changed. It returns the error text of
+// an invalid file and logs it unless it equals problem, the result of the previous call.
 func (d *Daemon) reloadSettings(problem string) string {
 	next, err := settings.LoadEdge(d.path)
 	if err != nil {
 		if err.Error() != problem {
-			d.log.Error().Err(err).Msg("the changed settings are not taken over")
+			d.log.Error().Err(err).Msg("invalid settings file; keeping the previous settings")
 		}
 		return err.Error()
 	}
@@ -42,9 +42,9 @@
 	}
 	d.settings.Store(next)
 	d.store.SetAddress(next.Store.Address)
-	d.log.Info().Str("store", next.Store.Address).Msg("settings taken over")
+	d.log.Info().Str("store", next.Store.Address).Msg("settings reloaded")
 	if next.VM != old.VM || next.Listen != old.Listen {
-		d.log.Warn().Msg("the changed identity or addresses take effect at the next start")
+		d.log.Warn().Msg("changed VM identity or listen addresses take effect at the next start")
 	}
 	return ""
 }
--- a/pkg/edge/stop.go
+++ b/pkg/edge/stop.go
@@ -9,30 +9,35 @@
 )
 
 const (
-	// stopNotice is how long a stopping VM still takes requests: callers keep
-	// look-ups and connections for locateTTL, some for longer. The platform excuses no cut
-	// of a request that was sent later than 3 s after SIGTERM.
+	// stopNotice is how long a stopping VM still accepts requests: callers cache look-ups
+	// and keep connections for locateTTL, some for longer. The platform does not
+	// excuse the abort of a request that was sent later than 3 s after SIGTERM, so the VM refuses
+	// new requests before then.
 	stopNotice = 2900 * time.Millisecond
-	// abandonAfter is the part of the grace after which requests that still run get a
-	// final answer. The platform excuses what is cut in the last sixth.
+	// abandonAfter is the fraction of the grace period after which requests that still run
+	// are aborted with a final response. The platform excuses requests that are aborted in
+	// the last sixth of it.
 	abandonAfter = 0.9
-	// exitAfter is the part of the grace after which the process exits whatever is still
-	// being delivered. One that is killed at the end of the grace has stopped ungracefully.
+	// exitAfter is the fraction of the grace period after which the process exits even if
+	// responses are still being sent. A process that the platform has to kill at the end of
+	// the grace period counts as an ungraceful stop.
 	exitAfter = 0.95
-	// quietPeriod is how long a stopping VM that runs nothing waits for callers that are
-	// still on their way.
+	// quietPeriod is how long a stopping VM without running requests waits for requests
+	// that are already in transit.
 	quietPeriod = 200 * time.Millisecond
-	// maxQuietPeriods bounds that wait where callers keep coming; they are answered at
-	// once, so that none waits long to be accepted.
+	// maxQuietPeriods bounds that wait if requests keep arriving. They are refused at once,
+	// so no connection waits long to be accepted.
 	maxQuietPeriods = 3
-	// deliveryPoll is how often a VM that exits looks whether all answers are delivered.
+	// deliveryPoll is how often an exiting VM checks whether all responses are sent.
 	deliveryPoll = 5 * time.Millisecond
-	// releaseTimeout bounds handing back borrowed parts of limits and the VM's row.
+	// releaseTimeout bounds the return of borrowed shares of limits, and the update of the VM's
+	// row.
 	releaseTimeout = 400 * time.Millisecond
 )
 
-// stop answers every request that has come, and takes new ones to the end only to refuse
-// them: http.Server.Shutdown would drop those that it reads meanwhile.
+// stop shuts the VM down gracefully. It completes the requests that have arrived. New
+// requests are still accepted, but after stopNotice only to be refused: http.Server.Shutdown
+// would drop requests that it reads during the shutdown.
 func (d *Daemon) stop() {
 	started := time.Now()
 	grace := d.settings.Load().Bounds.Grace.Duration
@@ -43,7 +48,7 @@
 	}
 	refuseAt := started.Add(min(stopNotice, grace/2))
 	d.ingress.Stop(refuseAt)
-	d.log.Info().Int("running", d.ingress.Running()).Dur("grace_ms", grace).Msg("stopping: new callers are sent elsewhere")
+	d.log.Info().Int("running", d.ingress.Running()).Dur("grace_ms", grace).Msg("stopping; look-ups send new callers to other VMs")
 	time.Sleep(time.Until(refuseAt))
 
 	running, cancelRunning := context.WithDeadline(context.Background(), after(abandonAfter))
@@ -51,52 +56,52 @@
 	d.releaseLimits(running)
 	d.awaitQuiet(running)
 	if n := d.ingress.Running(); n > 0 {
-		d.log.Warn().Int("running", n).Msg("requests outlast the grace: they get their final answer")
-		d.ingress.LogRunning("outlasts the grace")
+		d.log.Warn().Int("running", n).Msg("requests still run near the end of the grace period; aborting them with a final response")
+		d.ingress.LogRunning("request aborted near the end of the grace period")
 		d.ingress.Abandon()
 	}
 	delivery, cancelDelivery := context.WithDeadline(context.Background(), after(exitAfter))
 	defer cancelDelivery()
 	d.unregister(delivery)
 	d.awaitDelivery(delivery)
-	d.ingress.LogRunning("cut at the end of the grace")
+	d.ingress.LogRunning("request cut off by the exit at the end of the grace period")
 	if err := d.callers.Close(); err != nil {
-		d.log.Warn().Err(err).Msg("closing the callers' connections failed")
+		d.log.Warn().Err(err).Msg("failed to close the callers' connections")
 	}
 	d.client.Close()
 	d.store.Close()
 	d.sendSpans(delivery)
 }
 
-// awaitQuiet waits until no request runs and none has come for quietPeriod, or until the
-// VM has run nothing for maxQuietPeriods of them: closing the listener resets the
-// connections that it has not accepted yet.
+// awaitQuiet waits until no request runs and none has arrived for quietPeriod, or until no
+// request has run for maxQuietPeriods such periods. It is needed because closing the
+// listener resets the connections that it has not accepted yet.
 func (d *Daemon) awaitQuiet(ctx context.Context) {
-	const looks = 10
-	ticker := time.NewTicker(quietPeriod / looks)
+	const pollsPerPeriod = 10
+	ticker := time.NewTicker(quietPeriod / pollsPerPeriod)
 	defer ticker.Stop()
-	before := d.ingress.Requests()
-	for quiet, idle := 0, 0; quiet < looks && idle < maxQuietPeriods*looks; {
+	lastRequests := d.ingress.Requests()
+	for quietPolls, idlePolls := 0, 0; quietPolls < pollsPerPeriod && idlePolls < maxQuietPeriods*pollsPerPeriod; {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		quiet, idle = quiet+1, idle+1
+		quietPolls, idlePolls = quietPolls+1, idlePolls+1
 		if d.ingress.Running() > 0 {
-			quiet, idle = 0, 0
+			quietPolls, idlePolls = 0, 0
 		}
-		if now := d.ingress.Requests(); now != before {
-			quiet, before = 0, now
+		if now := d.ingress.Requests(); now != lastRequests {
+			quietPolls, lastRequests = 0, now
 		}
 	}
 }
 
-// awaitDelivery waits until every answer has left.
+// awaitDelivery waits until every response is sent.
 func (d *Daemon) awaitDelivery(ctx context.Context) {
 	ticker := time.NewTicker(deliveryPoll)
 	defer ticker.Stop()
-	for d.conns.busy() > 0 {
+	for d.conns.activeCount() > 0 {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -105,14 +110,15 @@
 	}
 }
 
-// sendSpans sends the last spans to the collector.
+// sendSpans sends the remaining spans to the collector.
 func (d *Daemon) sendSpans(ctx context.Context) {
 	if err := d.shutdownTracer(ctx); err != nil {
-		d.log.Warn().Err(err).Msg("spans are lost")
+		d.log.Warn().Err(err).Msg("failed to send the remaining trace spans")
 	}
 }
 
-// releaseLimits hands back what this VM borrowed of limits. It admits nothing any more.
+// releaseLimits returns what this VM borrowed of the limits. The VM admits no request any
+// more.
 func (d *Daemon) releaseLimits(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
@@ -123,14 +129,14 @@
 	released.Wait()
 }
 
-// unregister marks this VM's row, so that a VM that does not come back leaves
-// its part of the bounds to the others.
+// unregister marks this VM's row as left, so that the other VMs get its share of the limits
+// if it does not come back.
 func (d *Daemon) unregister(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	left := d.fleet.self
 	left.Left = true
 	if _, err := d.store.Transact(ctx, platform.Transaction{Writes: []platform.Row{left.row()}}); err != nil {
-		d.log.Warn().Err(err).Msg("this VM's row stays; its part of the limits rests until it returns")
+		d.log.Warn().Err(err).Msg("failed to mark this VM as left; its share of the limits stays unused until it returns")
 	}
 }
--- a/pkg/edge/stop_test.go
+++ b/pkg/edge/stop_test.go
@@ -12,8 +12,8 @@
 	"crocusramp.dev/crocusramp/pkg/settings"
 )
 
-// TestFailedListenerStopsGracefully: where one listener fails, requests that came on another
-// one run. They were cut by the exit of the process.
+// TestFailedListenerStopsGracefully guards against a process that exits at once when one
+// listener fails, and so cuts off the requests that run on the other listeners.
 func TestFailedListenerStopsGracefully(t *testing.T) {
 	free := func() string { return freeport.Address(t) }
 	s := &settings.Edge{
@@ -27,11 +27,11 @@
 		t.Fatal(err)
 	}
 	broken := errors.New("broken")
-	d.failed <- broken
+	d.listenerErrors <- broken
 	if err := d.Run(t.Context(), nil); !errors.Is(err, broken) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Run returned %v, want %v", err, broken)
 	}
 	if !d.leaving.Load() {
-		t.Error("the VM ended without a stop")
+		t.Error("Run returned without a graceful stop")
 	}
 }
--- a/pkg/edge/suspects.go
+++ b/pkg/edge/suspects.go
@@ -24,34 +24,35 @@
 )
 
 const (
-	// quarantineTime is how long a request is kept back that crashes targets, before it is tried
-	// once: longer than a target is cold after its start. Each trial prolongs it quarantineBackoff
-	// times.
+	// quarantineTime is how long a request that crashes targets is blocked before one trial: longer
+	// than a target is cold after its start. Each trial multiplies the time by quarantineBackoff.
 	quarantineTime    = 10 * time.Second
 	quarantineBackoff = 6
-	// suspectMemory is how long a request is remembered after its last death or trial.
-	suspectMemory = time.Hour
-	// maxTrials is how often it is tried. The platform allows three retries after the third target
-	// has ended, from all VMs and processes together.
+	// suspectRetention is how long a suspect is kept after its last target death or trial.
+	suspectRetention = time.Hour
+	// maxTrials is the most trials of a request. The platform allows three retries after the third
+	// target has died, from all VMs and processes together.
 	maxTrials = 2
-	// maxSuspects bounds the requests that were running when targets died, maxAnswered those that
-	// targets answered lately: some tens of seconds of a VM's requests.
+	// maxSuspects bounds the tracked requests that were running when targets died. maxAnswered
+	// bounds the tracked requests that targets answered recently: some tens of seconds of a VM's
+	// requests.
 	maxSuspects = 256
 	maxAnswered = 4096
-	// maxReportedSuspects bounds how many suspects a heartbeat's answer reports, those of the most
-	// deaths first, and reportedAge the age of a death that is the only one: several times the
-	// longest time between two heartbeats.
+	// maxReportedSuspects is the most suspects that a heartbeat response reports, those with the most
+	// deaths first. A suspect with a single death is only reported up to maxReportedAge after it:
+	// several times the longest time between two heartbeats.
 	maxReportedSuspects = 16
-	reportedAge         = 10 * time.Second
+	maxReportedAge      = 10 * time.Second
 	// maxSuspectRows bounds the rows of suspects in the store.
 	maxSuspectRows = 64
-	// keepPeriod is how often it is looked which suspects the store lacks, and witnessDelay how long
-	// the VMs leave it to the one that saw the latest death.
-	keepPeriod   = 500 * time.Millisecond
-	witnessDelay = 2 * time.Second
-	// tryTimeout bounds a trial's write to the store, and askPause the number of these writes.
-	tryTimeout = time.Second
-	askPause   = time.Second
+	// rowSyncPeriod is how often the suspects are compared with their rows in the store. The VM that
+	// saw the latest death writes the row at once; the others wait for witnessDelay first.
+	rowSyncPeriod = 500 * time.Millisecond
+	witnessDelay  = 2 * time.Second
+	// trialTimeout bounds a trial's write to the store. trialAskInterval is the least time between two
+	// such writes for a suspect.
+	trialTimeout     = time.Second
+	trialAskInterval = time.Second
 
 	suspectPrefix = "suspect-"
 )
@@ -61,57 +62,57 @@
 	Transact(ctx context.Context, t platform.Transaction) (int64, error)
 }
 
-// suspects keeps the requests that crash targets known to all VMs: at once by reports, to those
-// that were not reached by heartbeats, and beyond the processes by a row for each request with which
-// several targets died. It implements ingress.Suspects.
+// suspects shares the requests that crash targets among all VMs: by immediate reports, by heartbeats
+// for VMs that a report did not reach, and by a row in the store for each request during which several
+// targets died, which outlives the processes. It implements ingress.Suspects.
 type suspects struct {
 	list    *quarantine.List
 	reports *deathreport.Service
 	store   suspectStore
 	clock   clock.Clock
 	log     zerolog.Logger
-	// first reports whether this VM is the one that removes rows of requests that are forgotten.
-	first func() bool
-	// witnessed wakes keep after a death that this VM saw.
-	witnessed chan struct{}
+	// isCoordinator reports whether this VM is the one that removes expired rows.
+	isCoordinator func() bool
+	// wakeups triggers an immediate pass of syncRows.
+	wakeups chan struct{}
 
 	mu   sync.Mutex
 	rows map[string]*suspectRow // by key
-	// since is when each suspect first had to have a row that it lacks.
-	since map[string]clock.Time
-	own   map[string]bool // suspects of whose deaths this VM saw one
-	// asked is when a trial of each suspect was last asked for.
-	asked map[string]clock.Time
-	// heard is when the heartbeat of each VM was sent that was taken in last. The balancing
-	// goroutine owns it.
-	heard map[string]clock.Time
-	// reported is what heartbeats tell.
-	reported atomic.Pointer[[]quarantine.Case]
+	// missingSince is when this VM first found a suspect's row missing or outdated, by key.
+	missingSince map[string]clock.Time
+	sawDeath     map[string]bool // keys of suspects during which this VM saw a target die
+	// trialAskedAt is when this VM last asked for a trial of each suspect, by key.
+	trialAskedAt map[string]clock.Time
+	// lastHeartbeat is when the last applied heartbeat of each VM was sent, by VM ID. Only the
+	// balance goroutine uses it.
+	lastHeartbeat map[string]clock.Time
+	// reportedCases holds the suspects that this VM's heartbeats report.
+	reportedCases atomic.Pointer[[]quarantine.Case]
 }
 
-// suspectRow is a suspect's row as this VM knows it.
+// suspectRow is this VM's copy of a suspect's row in the store.
 type suspectRow struct {
 	quarantine.Case
 	version int64
-	// since is when this VM read this version of it.
-	since clock.Time
-	// acquitted says that the row is to be removed.
-	acquitted bool
+	// readAt is when this VM read this version of the row.
+	readAt clock.Time
+	// cleared is set when a target has answered the request, so the row must be removed.
+	cleared bool
 }
 
 func newSuspects(d *Daemon) *suspects {
 	return &suspects{
-		list: d.quarantine, store: d.store, clock: d.clock, log: d.log, first: d.fleet.first,
-		reports:   deathreport.New(deathreport.Config{List: d.quarantine, Members: d.members, Peers: d.dialer, Log: d.log}),
-		witnessed: make(chan struct{}, 1), rows: map[string]*suspectRow{}, since: map[string]clock.Time{}, own: map[string]bool{},
-		asked: map[string]clock.Time{}, heard: map[string]clock.Time{},
+		list: d.quarantine, store: d.store, clock: d.clock, log: d.log, isCoordinator: d.fleet.isCoordinator,
+		reports: deathreport.New(deathreport.Config{List: d.quarantine, Members: d.members, Peers: d.dialer, Log: d.log}),
+		wakeups: make(chan struct{}, 1), rows: map[string]*suspectRow{}, missingSince: map[string]clock.Time{}, sawDeath: map[string]bool{},
+		trialAskedAt: map[string]clock.Time{}, lastHeartbeat: map[string]clock.Time{},
 	}
 }
 
 func suspectKey(f quarantine.Fingerprint) string { return suspectPrefix + f.String() }
 
-// suspectRowOf is a case in the fleet's table.
-func suspectRowOf(c quarantine.Case) platform.Row {
+// encodeSuspectRow encodes a case as a row of the fleet's table.
+func encodeSuspectRow(c quarantine.Case) platform.Row {
 	value, err := proto.Marshal(codec.Encode(c))
 	if err != nil {
 		panic(fmt.Sprintf("edge: encode suspect: %v", err))
@@ -119,7 +120,7 @@
 	return platform.Row{Table: fleetTable, Key: suspectKey(c.Fingerprint), Value: value}
 }
 
-// apply takes in a change of the fleet's table. It reports whether the row is a suspect's.
+// apply applies a change of the fleet's table. It reports whether the row is a suspect's.
 func (s *suspects) apply(change platform.Change) bool {
 	if !strings.HasPrefix(change.Key, suspectPrefix) {
 		return false
@@ -131,29 +132,30 @@
 		delete(s.rows, change.Key)
 		if old != nil {
 			s.list.Answered(old.Fingerprint)
-			s.log.Info().Str("fingerprint", old.String()).Int64("row", change.Version).Msg("request is not suspect any more")
+			s.log.Info().Str("fingerprint", old.String()).Int64("row", change.Version).Msg("request is no longer suspect")
 		}
 		return true
 	}
-	s.adopt(change.Row)
+	s.applyRow(change.Row)
 	return true
 }
 
-// adopt takes in a row. The caller holds mu.
-func (s *suspects) adopt(row platform.Row) {
-	var kept peerpb.Suspect
-	err := proto.Unmarshal(row.Value, &kept)
-	c, decodeErr := codec.Decode(&kept)
+// applyRow stores a row unless a newer version is known, and restores its case in the list. The
+// caller holds mu.
+func (s *suspects) applyRow(row platform.Row) {
+	var encoded peerpb.Suspect
+	err := proto.Unmarshal(row.Value, &encoded)
+	c, decodeErr := codec.Decode(&encoded)
 	if err != nil || decodeErr != nil || suspectKey(c.Fingerprint) != row.Key {
-		s.log.Warn().Err(errors.Join(err, decodeErr)).Str("row", row.Key).Msg("a suspect's row is passed over")
+		s.log.Warn().Err(errors.Join(err, decodeErr)).Str("row", row.Key).Msg("ignoring an invalid row of a suspect")
 		return
 	}
-	next := &suspectRow{Case: c, version: row.Version, since: s.clock.Now()}
+	next := &suspectRow{Case: c, version: row.Version, readAt: s.clock.Now()}
 	if old := s.rows[row.Key]; old != nil {
 		if old.version > row.Version {
 			return
 		}
-		next.acquitted = old.acquitted
+		next.cleared = old.cleared
 	}
 	s.rows[row.Key] = next
 	s.list.Restore(next.Case)
@@ -162,7 +164,7 @@
 		Strs("targets", targetsOf(next.Case)).Msg("request is suspect on all VMs")
 }
 
-// targetsOf lists the targets that died with a request.
+// targetsOf returns the targets that died while they ran a request.
 func targetsOf(c quarantine.Case) []string {
 	var out []string
 	for _, d := range c.Deaths {
@@ -171,7 +173,7 @@
 	return out
 }
 
-// Report implements ingress.Suspects.
+// Report implements ingress.Suspects. A request that must be blocked is written to the store at once.
 func (s *suspects) Report(f quarantine.Fingerprint, d quarantine.Death) bool {
 	suspect := s.reports.Report(f, d)
 	c, ok := s.list.Find(f)
@@ -179,24 +181,24 @@
 		return suspect
 	}
 	s.mu.Lock()
-	s.own[suspectKey(f)] = true
+	s.sawDeath[suspectKey(f)] = true
 	s.mu.Unlock()
-	if c.KeptBack() { // the others, mostly innocent, are soon answered
+	if c.KeptBack() { // most other suspects are soon answered, so their rows can wait
 		s.wake()
 	}
 	return suspect
 }
 
-// wake makes keep look at once.
+// wake triggers an immediate pass of syncRows.
 func (s *suspects) wake() {
 	select {
-	case s.witnessed <- struct{}{}:
+	case s.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// Try implements ingress.Suspects. The row in the store decides among the VMs: a trial is the one
-// whose write finds the row as this VM knows it.
+// Try implements ingress.Suspects. The VMs compete for a trial by a conditional write of the row: it
+// is granted to the VM whose write finds the row at the version that the VM knows.
 func (s *suspects) Try(ctx context.Context, f quarantine.Fingerprint) bool {
 	c, ok := s.list.Find(f)
 	if !ok {
@@ -208,26 +210,27 @@
 	if row := s.rows[key]; row != nil {
 		version, c.Trials = row.version, max(c.Trials, row.Trials)
 	}
-	at, asked := s.asked[key]
-	ask := c.Trials < maxTrials && (!asked || now.Sub(at) >= askPause)
+	at, asked := s.trialAskedAt[key]
+	ask := c.Trials < maxTrials && (!asked || now.Sub(at) >= trialAskInterval)
 	if ask {
-		s.asked[key] = now
+		s.trialAskedAt[key] = now
 	}
 	s.mu.Unlock()
 	if !ask {
 		return false
 	}
 	c.Trials++
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	err := s.write(ctx, c, version)
-	s.log.Info().Err(err).Stringer("fingerprint", f).Int("trial", c.Trials).Bool("granted", err == nil).Msg("a trial is asked for")
+	err := s.writeRow(ctx, c, version)
+	s.log.Info().Err(err).Stringer("fingerprint", f).Int("trial", c.Trials).Bool("granted", err == nil).Msg("asked for a trial of a suspect request")
 	return err == nil
 }
 
-// write writes a case's row where the row still has a version.
-func (s *suspects) write(ctx context.Context, c quarantine.Case, version int64) error {
-	row := suspectRowOf(c)
+// writeRow writes a case's row if the row still has the given version (0 if there must be none). After
+// a conflict it applies the current row.
+func (s *suspects) writeRow(ctx context.Context, c quarantine.Case, version int64) error {
+	row := encodeSuspectRow(c)
 	expected := platform.Row{Table: fleetTable, Key: row.Key, Version: version}
 	now, err := s.store.Transact(ctx, platform.Transaction{Expect: []platform.Row{expected}, Writes: []platform.Row{row}})
 	s.mu.Lock()
@@ -236,78 +239,80 @@
 	switch {
 	case err == nil:
 		row.Version = now
-		s.adopt(row)
+		s.applyRow(row)
 	case errors.As(err, &conflict):
 		for _, current := range conflict.Current {
 			if current.Key == row.Key && !current.Removed && current.Value != nil {
-				s.adopt(current)
+				s.applyRow(current)
 			}
 		}
 	}
 	return err
 }
 
-// Acquit implements ingress.Suspects.
+// Acquit implements ingress.Suspects. It marks the request's row for removal.
 func (s *suspects) Acquit(f quarantine.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if row := s.rows[suspectKey(f)]; row != nil {
-		row.acquitted = true
+		row.cleared = true
 		s.wake()
 	}
 }
 
-// exchange takes in what the other VMs' heartbeats told, and renews what this VM's tell.
-func (s *suspects) exchange(view *member.View) {
-	s.hear(view)
-	cases := s.list.Cases(reportedAge)
+// exchangeReports applies the suspects that other VMs' heartbeats reported, and updates those that this VM's
+// heartbeats report.
+func (s *suspects) exchangeReports(view *member.View) {
+	s.applyReported(view)
+	cases := s.list.Cases(maxReportedAge)
 	slices.SortStableFunc(cases, func(a, b quarantine.Case) int { return cmp.Compare(len(b.Deaths), len(a.Deaths)) })
 	cases = cases[:min(len(cases), maxReportedSuspects)]
-	s.reported.Store(&cases)
+	s.reportedCases.Store(&cases)
 }
 
-// hear takes in what the other VMs' heartbeats told.
-func (s *suspects) hear(view *member.View) {
+// applyReported applies the suspects in other VMs' heartbeats, each heartbeat once.
+func (s *suspects) applyReported(view *member.View) {
 	for i := range view.Peers {
 		p := &view.Peers[i]
-		if len(p.Suspects) == 0 || s.heard[p.ID] == p.Seen {
+		if len(p.Suspects) == 0 || s.lastHeartbeat[p.ID] == p.Seen {
 			continue
 		}
-		s.heard[p.ID] = p.Seen
+		s.lastHeartbeat[p.ID] = p.Seen
 		for _, c := range p.Suspects {
 			s.reports.TakeIn(c, p.ID)
 		}
 	}
 }
 
-// keep makes the rows in the store those of the cases that all VMs must know, until ctx ends.
-func (s *suspects) keep(ctx context.Context) {
-	ticker := time.NewTicker(keepPeriod)
+// syncRows writes missing and outdated rows of suspects to the store and removes those that are no
+// longer needed. It runs every rowSyncPeriod and after wake, until ctx ends.
+func (s *suspects) syncRows(ctx context.Context) {
+	ticker := time.NewTicker(rowSyncPeriod)
 	defer ticker.Stop()
 	for {
-		for _, c := range s.missing() {
-			if err := s.write(ctx, c.Case, c.version); err != nil {
-				s.log.Warn().Err(err).Str("fingerprint", c.String()).Msg("a suspect was not written to the store")
+		for _, c := range s.missingRows() {
+			if err := s.writeRow(ctx, c.Case, c.version); err != nil {
+				s.log.Warn().Err(err).Str("fingerprint", c.String()).Msg("failed to write a suspect's row")
 			}
 		}
 		s.removeRows(ctx)
 		select {
 		case <-ticker.C:
-		case <-s.witnessed:
+		case <-s.wakeups:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// behind reports whether the row lacks what this VM knows of the case.
-func (r *suspectRow) behind(c *quarantine.Case) bool {
+// isOutdated reports whether the row lacks a death or the conviction of the case that this VM knows.
+func (r *suspectRow) isOutdated(c *quarantine.Case) bool {
 	return len(c.Deaths) > len(r.Deaths) || (c.Convicted && !r.Convicted)
 }
 
-// missing returns the cases that this VM is to write, each with the version of the row that it
-// takes the place of.
-func (s *suspects) missing() (out []suspectRow) {
+// missingRows returns the cases whose rows this VM must write now, each with the version of the row
+// that it replaces.
+func (s *suspects) missingRows() (out []suspectRow) {
 	cases := s.list.Cases(0)
 	now := s.clock.Now()
 	s.mu.Lock()
@@ -316,14 +321,14 @@
 	for _, c := range cases {
 		key := suspectKey(c.Fingerprint)
 		row := s.rows[key]
-		if row != nil && !row.behind(&c) {
+		if row != nil && !row.isOutdated(&c) {
 			continue
 		}
 		since[key] = now
-		if at, ok := s.since[key]; ok {
+		if at, ok := s.missingSince[key]; ok {
 			since[key] = at
 		}
-		if !s.own[key] && now.Sub(since[key]) < witnessDelay {
+		if !s.sawDeath[key] && now.Sub(since[key]) < witnessDelay {
 			continue
 		}
 		switch {
@@ -333,26 +338,27 @@
 			out = append(out, suspectRow{Case: c})
 		}
 	}
-	s.since = since
+	s.missingSince = since
 	if len(cases) == 0 {
-		clear(s.own)
-		clear(s.asked)
+		clear(s.sawDeath)
+		clear(s.trialAskedAt)
 	}
 	return out
 }
 
-// removeRows removes the rows of requests that a target has answered, and on one VM those whose
-// time is over. A request that this VM has forgotten sooner, among many others, it learns anew.
+// removeRows removes the rows of requests that a target has answered and, on the coordinator, rows
+// that have not changed for suspectRetention. If the list has dropped a case that still has a row, because it
+// holds a limited number of suspects, removeRows restores the case.
 func (s *suspects) removeRows(ctx context.Context) {
-	first, now := s.first(), s.clock.Now()
+	first, now := s.isCoordinator(), s.clock.Now()
 	s.mu.Lock()
 	var t platform.Transaction
 	for key, row := range s.rows {
-		over := now.Sub(row.since) > suspectMemory
-		if _, known := s.list.Find(row.Fingerprint); !known && !over && !row.acquitted {
+		over := now.Sub(row.readAt) > suspectRetention
+		if _, known := s.list.Find(row.Fingerprint); !known && !over && !row.cleared {
 			s.list.Restore(row.Case)
 		}
-		if row.acquitted || (over && first) {
+		if row.cleared || (over && first) {
 			t.Expect = append(t.Expect, platform.Row{Table: fleetTable, Key: key, Version: row.version})
 			t.Remove = append(t.Remove, platform.Row{Table: fleetTable, Key: key})
 		}
@@ -362,7 +368,7 @@
 		return
 	}
 	if _, err := s.store.Transact(ctx, t); err != nil {
-		s.log.Warn().Err(err).Int("rows", len(t.Remove)).Msg("removing the rows of suspects failed")
+		s.log.Warn().Err(err).Int("rows", len(t.Remove)).Msg("failed to remove rows of suspects")
 		return
 	}
 	s.mu.Lock()
--- a/pkg/edge/suspects_test.go
+++ b/pkg/edge/suspects_test.go
@@ -16,20 +16,20 @@
 	"crocusramp.dev/crocusramp/platform"
 )
 
-// fakeStore holds rows; writes fail while it is away.
+// fakeStore is an in-memory suspectStore. Writes fail while unavailable is set.
 type fakeStore struct {
-	mu      sync.Mutex
-	rows    map[string]platform.Row
-	version int64
-	away    bool
-	writes  int
+	mu          sync.Mutex
+	rows        map[string]platform.Row
+	version     int64
+	unavailable bool
+	writes      int
 }
 
 func (f *fakeStore) Transact(_ context.Context, t platform.Transaction) (int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.writes++
-	if f.away {
+	if f.unavailable {
 		return 0, errors.New("away")
 	}
 	for _, e := range t.Expect {
@@ -48,7 +48,7 @@
 	return f.version, nil
 }
 
-// all returns the rows as a process reads them at its start.
+// all returns all rows as changes, as a process reads them when it starts.
 func (f *fakeStore) all() (out []platform.Change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,20 +63,20 @@
 func (noPeers) View() *member.View { return &member.View{} }
 
 func newTestSuspects(store *fakeStore, c *clock.Fake) *suspects {
-	list := quarantine.NewList(quarantine.Config{Size: maxSuspects, Memory: suspectMemory, Duration: quarantineTime, Backoff: quarantineBackoff, MaxTrials: maxTrials, Answered: maxAnswered, Clock: c})
+	list := quarantine.NewList(quarantine.Config{Size: maxSuspects, Memory: suspectRetention, Duration: quarantineTime, Backoff: quarantineBackoff, MaxTrials: maxTrials, Answered: maxAnswered, Clock: c})
 	return &suspects{
-		list: list, store: store, clock: c, log: zerolog.Nop(), first: func() bool { return true },
-		reports:   deathreport.New(deathreport.Config{List: list, Members: noPeers{}, Log: zerolog.Nop()}),
-		witnessed: make(chan struct{}, 1), rows: map[string]*suspectRow{}, since: map[string]clock.Time{}, own: map[string]bool{},
-		asked: map[string]clock.Time{}, heard: map[string]clock.Time{},
+		list: list, store: store, clock: c, log: zerolog.Nop(), isCoordinator: func() bool { return true },
+		reports: deathreport.New(deathreport.Config{List: list, Members: noPeers{}, Log: zerolog.Nop()}),
+		wakeups: make(chan struct{}, 1), rows: map[string]*suspectRow{}, missingSince: map[string]clock.Time{}, sawDeath: map[string]bool{},
+		trialAskedAt: map[string]clock.Time{}, lastHeartbeat: map[string]clock.Time{},
 	}
 }
 
-// writeMissing does once what keep does again and again.
-func (s *suspects) writeMissing(t *testing.T) {
+// syncOnce does a single pass of syncRows.
+func (s *suspects) syncOnce(t *testing.T) {
 	t.Helper()
-	for _, c := range s.missing() {
-		if err := s.write(t.Context(), c.Case, c.version); err != nil {
+	for _, c := range s.missingRows() {
+		if err := s.writeRow(t.Context(), c.Case, c.version); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -85,22 +85,22 @@
 
 var poison = quarantine.NewFingerprint(quarantine.Base{1}, []byte("poison"))
 
-func (s *suspects) twoDeaths() {
+func (s *suspects) reportTwoDeaths() {
 	s.Report(poison, quarantine.Death{ID: "a@1", Target: "a"})
 	s.Report(poison, quarantine.Death{ID: "b@1", Target: "b", Prior: 1})
 }
 
-// TestRestartedFleetKnowsWhatCrashesTargets guards against processes that start and send what the
-// ones before them knew to crash targets.
+// TestRestartedFleetKnowsWhatCrashesTargets guards against restarted processes that send a request
+// which the earlier processes knew to crash targets.
 func TestRestartedFleetKnowsWhatCrashesTargets(t *testing.T) {
 	store, c := &fakeStore{rows: map[string]platform.Row{}}, clock.NewFake(1)
 	before := newTestSuspects(store, c)
-	before.twoDeaths()
-	before.writeMissing(t)
+	before.reportTwoDeaths()
+	before.syncOnce(t)
 	after := newTestSuspects(store, c)
 	for _, row := range store.all() {
 		if !after.apply(row) {
-			t.Errorf("%s is no suspect's row", row.Key)
+			t.Errorf("row %s is not recognized as a suspect's row", row.Key)
 		}
 	}
 	if j := after.list.Judge(poison.Base, []byte("poison")); !j.Quarantined {
@@ -108,14 +108,14 @@
 	}
 }
 
-// TestRestartedFleetKnowsTwoDeaths guards against a fleet that is killed between the deaths that one
-// request causes and begins to count anew.
+// TestRestartedFleetKnowsTwoDeaths guards against a fleet that is killed between two crashes caused by
+// the same request and then counts its deaths from zero.
 func TestRestartedFleetKnowsTwoDeaths(t *testing.T) {
 	store, c := &fakeStore{rows: map[string]platform.Row{}}, clock.NewFake(1)
 	before := newTestSuspects(store, c)
 	before.Report(poison, quarantine.Death{ID: "a@1", Target: "a"})
 	before.Report(poison, quarantine.Death{ID: "b@1", Target: "b"})
-	before.writeMissing(t)
+	before.syncOnce(t)
 	after := newTestSuspects(store, c)
 	for _, row := range store.all() {
 		after.apply(row)
@@ -130,14 +130,14 @@
 	}
 }
 
-// TestRowTellsAllDeaths guards against a row that was written early and a fleet that restarts with
-// less than its VMs knew.
+// TestRowTellsAllDeaths guards against a row that is written after the first deaths and never updated,
+// so that a restarted fleet knows fewer deaths than before.
 func TestRowTellsAllDeaths(t *testing.T) {
 	store, c := &fakeStore{rows: map[string]platform.Row{}}, clock.NewFake(1)
 	before := newTestSuspects(store, c)
 	for _, id := range []string{"a", "b", "c"} {
 		before.Report(poison, quarantine.Death{ID: id + "@1", Target: id})
-		before.writeMissing(t)
+		before.syncOnce(t)
 	}
 	after := newTestSuspects(store, c)
 	for _, row := range store.all() {
@@ -147,21 +147,21 @@
 		t.Errorf("after the restart: %+v", j)
 	}
 	if writes := store.writes; writes != 2 {
-		t.Errorf("%d writes", writes)
+		t.Errorf("%d writes to the store, want 2", writes)
 	}
-	before.writeMissing(t)
+	before.syncOnce(t)
 	if store.writes != 2 {
-		t.Error("written again with nothing new")
+		t.Error("the row was written again although nothing changed")
 	}
 }
 
-// TestTrialsOfAFleet has many VMs and their restarts ask for trials: of all of them maxTrials are
-// granted.
+// TestTrialsOfAFleet checks that exactly maxTrials trials are granted when many VMs ask for trials
+// before and after restarts.
 func TestTrialsOfAFleet(t *testing.T) {
 	store, c := &fakeStore{rows: map[string]platform.Row{}}, clock.NewFake(1)
 	witness := newTestSuspects(store, c)
-	witness.twoDeaths()
-	witness.writeMissing(t)
+	witness.reportTwoDeaths()
+	witness.syncOnce(t)
 	granted := 0
 	for range 6 {
 		var vms []*suspects
@@ -180,92 +180,93 @@
 		}
 	}
 	if granted != maxTrials {
-		t.Errorf("%d trials", granted)
+		t.Errorf("%d trials granted, want %d", granted, maxTrials)
 	}
 }
 
-// TestRowOutlivesAFloodOfSuspects guards against a row that is removed, and its request freed on all
-// VMs, as one VM has had to forget it among many others.
+// TestRowOutlivesAFloodOfSuspects guards against a VM that removes the row of a request, and so
+// unblocks it on all VMs, because many other suspects have evicted the request from its list.
 func TestRowOutlivesAFloodOfSuspects(t *testing.T) {
 	store, c := &fakeStore{rows: map[string]platform.Row{}}, clock.NewFake(1)
 	s := newTestSuspects(store, c)
-	s.twoDeaths()
-	s.writeMissing(t)
+	s.reportTwoDeaths()
+	s.syncOnce(t)
 	for i := range 4 * maxSuspects {
 		f := quarantine.NewFingerprint(quarantine.Base{2, byte(i), byte(i >> 8)}, nil)
 		s.Report(f, quarantine.Death{ID: "c@1", Target: "c"})
 	}
-	s.writeMissing(t)
+	s.syncOnce(t)
 	if _, known := s.list.Find(poison); len(store.all()) != 1 || !known {
-		t.Errorf("%d rows, known %v", len(store.all()), known)
+		t.Errorf("%d rows, suspect known: %v; want one row and a known suspect", len(store.all()), known)
 	}
-	c.Advance(suspectMemory + time.Second)
-	for range 3 { // it must not come back either
+	c.Advance(suspectRetention + time.Second)
+	for range 3 { // the removed row must not come back either
 		c.Advance(witnessDelay)
-		s.writeMissing(t)
+		s.syncOnce(t)
 		if n := len(store.all()); n != 0 {
-			t.Errorf("%d rows are left for ever", n)
+			t.Errorf("%d expired rows are left", n)
 		}
 	}
 }
 
-// TestNoTrialWithoutTheStore: where the store cannot decide among the VMs, none sends.
+// TestNoTrialWithoutTheStore checks that no VM is granted a trial while the store, which decides among
+// the VMs, is unavailable.
 func TestNoTrialWithoutTheStore(t *testing.T) {
-	store, c := &fakeStore{rows: map[string]platform.Row{}, away: true}, clock.NewFake(1)
+	store, c := &fakeStore{rows: map[string]platform.Row{}, unavailable: true}, clock.NewFake(1)
 	s := newTestSuspects(store, c)
-	s.twoDeaths()
+	s.reportTwoDeaths()
 	for range 3 {
 		if s.Try(t.Context(), poison) {
-			t.Error("a trial was granted")
+			t.Error("a trial was granted while the store was unavailable")
 		}
 	}
 	if store.writes != 1 {
-		t.Errorf("the store was asked %d times for as many requests", store.writes)
+		t.Errorf("%d writes to the store for three requests, want 1", store.writes)
 	}
-	store.away = false
-	c.Advance(askPause)
+	store.unavailable = false
+	c.Advance(trialAskInterval)
 	if !s.Try(t.Context(), poison) {
-		t.Error("no trial when the store is back")
+		t.Error("no trial was granted when the store was available again")
 	}
 }
 
-// TestAcquittedRequestIsFreeEverywhere: the row of a request that a target has answered goes, and
-// with it what other VMs hold against the request.
+// TestAcquittedRequestIsFreeEverywhere checks that the row of a request is removed when a target has
+// answered the request, and that the removal ends the suspicion on the other VMs.
 func TestAcquittedRequestIsFreeEverywhere(t *testing.T) {
 	store, c := &fakeStore{rows: map[string]platform.Row{}}, clock.NewFake(1)
 	one, other := newTestSuspects(store, c), newTestSuspects(store, c)
-	one.twoDeaths()
-	one.writeMissing(t)
+	one.reportTwoDeaths()
+	one.syncOnce(t)
 	rows := store.all()
 	other.apply(rows[0])
 	one.list.Answered(poison)
 	one.Acquit(poison)
-	one.writeMissing(t)
+	one.syncOnce(t)
 	if left := store.all(); len(left) != 0 {
-		t.Fatalf("%d rows are left", len(left))
+		t.Fatalf("%d rows are left, want none", len(left))
 	}
 	rows[0].Removed = true
 	other.apply(rows[0])
 	if j := other.list.Judge(poison.Base, []byte("poison")); j != (quarantine.Judgement{}) {
-		t.Errorf("the other VM: %+v", j)
+		t.Errorf("the other VM still judges the request as %+v", j)
 	}
 }
 
-// TestSuspectsAreWrittenByOneVM: a VM that only heard of the deaths leaves the row to the one that
-// saw them, for a while.
+// TestSuspectsAreWrittenByOneVM checks that a VM that learned of deaths from another VM waits for
+// witnessDelay before it writes the row, so that usually only the VM that saw them writes it.
 func TestSuspectsAreWrittenByOneVM(t *testing.T) {
 	store, c := &fakeStore{rows: map[string]platform.Row{}}, clock.NewFake(1)
 	s := newTestSuspects(store, c)
 	for _, d := range []quarantine.Death{{ID: "a@1", Target: "a"}, {ID: "b@1", Target: "b", Prior: 1}} {
 		s.reports.TakeIn(quarantine.Case{Fingerprint: poison, Deaths: []quarantine.Death{d}}, "vm-2")
 	}
-	s.writeMissing(t)
+	s.syncOnce(t)
 	if store.writes != 0 {
-		t.Error("written at once")
+		t.Error("the row was written before witnessDelay")
 	}
 	c.Advance(witnessDelay)
-	s.writeMissing(t)
+	s.syncOnce(t)
 	if len(store.all()) != 1 {
-		t.Error("not written")
+		t.Error("the row was not written after witnessDelay")
 	}
 }
