--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -1,4 +1,4 @@
-// Package member keeps the view that a VM has of its peers.
+// Package member maintains a VM's view of its peers by heartbeats.
 package member
 
 import (
@@ -8,18 +8,18 @@
 	"crocusramp.dev/crocusramp/pkg/quarantine"
 )
 
-// State is what a VM knows of a peer.
+// State is the state of a peer as seen by this VM.
 type State uint8
 
 const (
-	// Live peers answer heartbeats and take work.
+	// Live peers answer heartbeats and accept requests.
 	Live State = iota
-	// Leaving peers finish what they have and take no new work.
+	// Leaving peers complete their requests and accept no new ones.
 	Leaving
-	// Silent peers do not answer; they may be frozen, cut off or dead.
+	// Silent peers do not answer heartbeats; they may be frozen, partitioned or dead.
 	Silent
-	// Gone peers are known to be dead: their port refused a connection, or
-	// the platform removed them from its list. Silence is never proof of it.
+	// Gone peers are known to be dead: their port refused connections, or the
+	// platform removed them from its list. Silence never proves that.
 	Gone
 )
 
@@ -37,77 +37,75 @@
 	}
 }
 
-// Peer is one incarnation of the daemon on one VM.
+// Peer is one incarnation (process) of the daemon on one VM.
 type Peer struct {
 	ID            string
 	Incarnation   string
 	Region        string
 	FailureDomain string
-	// PeerAddress is the host:port of its peer protocol.
+	// PeerAddress is the host:port that other VMs use.
 	PeerAddress string
 	// CallerAddress is the host:port that callers use.
 	CallerAddress string
 	State         State
-	// ConfigVersion is the configuration in force there at the last heartbeat.
+	// ConfigVersion is the version of its configuration in force at the last heartbeat.
 	ConfigVersion int64
 	// ListVersion is the version of the newest change of the list of targets that it
-	// knew then.
+	// knew at the last heartbeat.
 	ListVersion int64
 	// FreePermits is its count of free permits at the last heartbeat.
 	FreePermits int
 	// SlotsHeld is its number of slots at the last heartbeat.
 	SlotsHeld int
-	// Pools is its part of each pool at the last heartbeat.
+	// Pools is its load in each pool at the last heartbeat.
 	Pools []PoolLoad
-	// Limits are those that it had observed by then.
+	// Limits are the limits of targets that it had observed at the last heartbeat.
 	Limits []TargetLimit
-	// Suspects are the requests with which, as it knew then, targets died lately, or several. Their deaths'
-	// ages are as of then.
+	// Suspects are the requests during which, as it knew at the last heartbeat, a target
+	// died recently or several targets died. The ages of the deaths are as of then.
 	Suspects []quarantine.Case
-	// Seen is when the last heartbeat that settled State was sent.
+	// StateProbedAt is when the heartbeat that last confirmed or changed State was sent.
 	Seen clock.Time
-	// Missed is how many heartbeats in a row it did not answer.
+	// MissedHeartbeats is the number of consecutive heartbeats that it did not answer.
 	Missed int
 }
 
-// PoolLoad is a VM's part of a pool of targets in its own region.
+// PoolLoad is a VM's load in a pool of targets in its own region.
 type PoolLoad struct {
 	Pool string
-	// Permits is how many requests the VM may run at once.
+	// Permits is how many requests the VM may run at once in the pool.
 	Permits int
 	Running int
 	Queued  int
-	// Demand is how many slots the requests of its callers need, wherever they
-	// run.
+	// Demand is how many slots the requests of its callers need, in any region.
 	Demand float64
-	// BoundTo is the only region where those requests may run; empty means that they
-	// may run anywhere.
+	// BoundTo is the only region in which these requests may run; empty means any region.
 	BoundTo string
 }
 
-// TargetLimit is a limit on the requests that a target takes from all VMs together, as a VM
-// observed it.
+// TargetLimit is a rate limit that a target announced for the requests of all VMs together, as
+// one VM observed it.
 type TargetLimit struct {
 	Target string
-	// Born is the Unix millisecond of the target's start; 0 is unknown.
+	// Born is when the target started, in Unix milliseconds; 0 if unknown.
 	Born int64
-	// Named is false where the target names no limit any more.
+	// Named is false if the target no longer announces a limit.
 	Named bool
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64
-	// Earliest and Latest bound when the VM did.
+	// Earliest and Latest bound the time at which the VM observed the limit.
 	Earliest, Latest time.Time
 }
 
-// View is an immutable picture of the fleet. Readers never change it.
+// View is a snapshot of the fleet. It must not be modified.
 type View struct {
 	Self Peer
 	// Peers holds the other VMs in order of ID.
 	Peers []Peer
-	// Complete reports that the platform's list was read at least once.
+	// Complete is set once the platform's list has been read.
 	Complete bool
-	// Listed is when the last successful read of the platform's list began.
-	Listed clock.Time
+	// ListReadAt is when the last successful read of the platform's list began.
+	ListReadAt clock.Time
 }
 
 // Gone reports whether the incarnation is known to be dead.
@@ -120,12 +118,12 @@
 	return false
 }
 
-// Dead reports whether there is proof, gathered after since, that the given
-// incarnation of a VM has ended: its port refused connections, another
-// incarnation answered there, or the platform's list no longer has the VM.
+// Dead reports whether there is proof, newer than since, that the given incarnation
+// of a VM has ended: its port refused connections, another incarnation answered
+// there, or the platform's list no longer contains the VM.
 //
-// Proof older than the caller's own knowledge of the incarnation says nothing:
-// the incarnation may have started between the two.
+// Proof that is older than the caller's information about the incarnation does not
+// count, because the incarnation may have started after it.
 func (v *View) Dead(id, incarnation string, since clock.Time) bool {
 	if id == v.Self.ID {
 		return incarnation != v.Self.Incarnation
@@ -140,10 +138,10 @@
 		}
 		return p.State == Gone || (p.State != Silent && p.Incarnation != incarnation)
 	}
-	return v.Complete && v.Listed > since
+	return v.Complete && v.ListReadAt > since
 }
 
-// Source publishes views. View never returns nil and costs one atomic load.
+// Source provides views. View never returns nil and costs one atomic load.
 type Source interface {
 	View() *View
 }
--- a/pkg/member/period_test.go
+++ b/pkg/member/period_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestPeriodFollowsTheFleet: heartbeats grow rarer with the fleet, down to the
-// bound that detection needs.
+// TestPeriodFollowsTheFleet checks that the time between two heartbeats to a peer grows
+// with the fleet, up to the bound that failure detection needs.
 func TestPeriodFollowsTheFleet(t *testing.T) {
 	for _, tt := range []struct {
 		peers      int
--- a/pkg/member/prober.go
+++ b/pkg/member/prober.go
@@ -22,20 +22,21 @@
 const (
 	DefaultListPeriod  = time.Second
 	DefaultProbePeriod = time.Second
-	// DefaultProbeTimeout covers two round trips between the farthest regions.
+	// DefaultProbeTimeout allows two round trips between the most distant regions.
 	DefaultProbeTimeout = time.Second
 )
 
 const (
-	// ticksPerPeriod is how often in a period it is looked who is due.
+	// ticksPerPeriod is how many times per probe period the prober checks which peers
+	// are due.
 	ticksPerPeriod = 10
-	// maxProbesPerSecond bounds the heartbeats that a VM sends, about 350
-	// bytes each with the answer; in fleets larger than this number each peer
-	// is asked less often than once a second.
+	// maxProbesPerSecond bounds the heartbeats that a VM sends. Each is about 350 bytes
+	// with the response. A VM with more peers than this number sends a heartbeat to each
+	// peer less often than once a second.
 	maxProbesPerSecond = 16
 )
 
-// Config sets up a Prober. All fields without a default are required.
+// Config configures a Prober. All fields without a default are required.
 type Config struct {
 	Self      Peer
 	Directory storage.Directory
@@ -43,35 +44,35 @@
 	Loop      *control.Loop
 	Clock     clock.Clock
 	Log       zerolog.Logger
-	// Local completes Self at each heartbeat with what changes: the state,
-	// the configuration's version and the free permits. It runs on any
-	// goroutine.
+	// Local sets the fields of Self that change, such as the state, the version of
+	// the configuration and the free permits. It is called for each heartbeat, on
+	// any goroutine.
 	Local func(*Peer)
-	// ListPeriod is how often the platform's list is read, 1 s if zero. A
-	// longer one delays the discovery of new VMs.
+	// ListPeriod is how often the platform's list is read, 1 s if zero. A longer
+	// period delays the discovery of new VMs.
 	ListPeriod time.Duration
-	// ProbePeriod is how often each peer is asked, 1 s if zero; more peers than
-	// 16 in each second are asked less often. A longer one delays the takeover
+	// ProbePeriod is the time between two heartbeats to a peer, 1 s if zero. It grows
+	// if there are more peers than 16 per second. A longer period delays the takeover
 	// of a dead peer's slots.
 	ProbePeriod time.Duration
-	// MaxProbePeriod bounds the time between two heartbeats to a peer, whatever
-	// the size of the fleet; 0 means no bound.
+	// MaxProbePeriod bounds the growth of that time in a large fleet; 0 means no
+	// bound.
 	MaxProbePeriod time.Duration
-	// ProbeTimeout is how long a peer has to answer, 1 s if zero.
+	// ProbeTimeout bounds the wait for the response to a heartbeat, 1 s if zero.
 	ProbeTimeout time.Duration
 }
 
-// Prober keeps the view of the fleet by heartbeats. It implements Source.
+// Prober maintains the view of the fleet by heartbeats. It implements Source.
 type Prober struct {
-	cfg    Config
-	roster *roster
-	busy   map[string]bool
-	// due is when each peer is asked next. The loop owns it.
-	due  map[string]clock.Time
-	view atomic.Pointer[View]
+	cfg      Config
+	roster   *roster
+	inFlight map[string]bool
+	// nextProbe is when the next heartbeat to each peer is due. The loop owns it.
+	nextProbe map[string]clock.Time
+	view      atomic.Pointer[View]
 }
 
-// NewProber returns a Prober that Start sets going.
+// NewProber returns a Prober. It sends heartbeats after Start is called.
 func NewProber(cfg Config) *Prober {
 	if cfg.ListPeriod == 0 {
 		cfg.ListPeriod = DefaultListPeriod
@@ -85,27 +86,28 @@
 	if cfg.Local == nil {
 		cfg.Local = func(*Peer) {}
 	}
-	p := &Prober{cfg: cfg, roster: newRoster(cfg.Self), busy: map[string]bool{}, due: map[string]clock.Time{}}
-	// Local may not be ready to be called before Start.
+	p := &Prober{cfg: cfg, roster: newRoster(cfg.Self), inFlight: map[string]bool{}, nextProbe: map[string]clock.Time{}}
+	// publish is not used here because Local must not be called before Start.
 	p.view.Store(p.roster.view())
 	return p
 }
 
-// View returns the present view.
+// View returns the current view.
 func (p *Prober) View() *View { return p.view.Load() }
 
 // Start reads the platform's list and sends heartbeats until ctx ends.
 func (p *Prober) Start(ctx context.Context) {
-	p.cfg.Loop.Go(ctx, p.readLists)
+	p.cfg.Loop.Go(ctx, p.watchDirectory)
 	p.cfg.Loop.Every(ctx, p.cfg.ProbePeriod/ticksPerPeriod, func() { p.probeDue(ctx) })
 }
 
-// readLists runs on a goroutine of its own.
-func (p *Prober) readLists(ctx context.Context) {
+// watchDirectory reads the platform's list every ListPeriod, until ctx ends. It runs on its own
+// goroutine.
+func (p *Prober) watchDirectory(ctx context.Context) {
 	ticker := time.NewTicker(p.cfg.ListPeriod)
 	defer ticker.Stop()
 	for {
-		p.readList(ctx)
+		p.readDirectory(ctx)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -114,11 +116,12 @@
 	}
 }
 
-func (p *Prober) readList(ctx context.Context) {
+// readDirectory reads the platform's list once and posts the result to the loop.
+func (p *Prober) readDirectory(ctx context.Context) {
 	started := p.cfg.Clock.Now()
 	vms, err := p.cfg.Directory.VMs(ctx)
 	if err != nil {
-		p.cfg.Log.Debug().Err(err).Msg("reading the platform's list of VMs failed")
+		p.cfg.Log.Debug().Err(err).Msg("failed to read the platform's list of VMs")
 		return
 	}
 	p.cfg.Loop.Post(func() {
@@ -127,36 +130,37 @@
 	})
 }
 
-// probeDue asks the peers whose turn it is. It runs on the loop.
+// probeDue starts a heartbeat to each peer that is due. It runs on the loop.
 func (p *Prober) probeDue(ctx context.Context) {
 	now := p.cfg.Clock.Now()
 	for id, e := range p.roster.entries {
-		if p.busy[id] || e.peer.PeerAddress == "" || now.Before(p.due[id]) {
+		if p.inFlight[id] || e.peer.PeerAddress == "" || now.Before(p.nextProbe[id]) {
 			continue
 		}
-		p.busy[id] = true
-		p.due[id] = now.Add(p.period())
+		p.inFlight[id] = true
+		p.nextProbe[id] = now.Add(p.period())
 		address := e.peer.PeerAddress
 		p.cfg.Loop.Go(ctx, func(ctx context.Context) {
 			result := p.probe(ctx, id, address)
-			p.cfg.Loop.Post(func() { p.settle(ctx, result) })
+			p.cfg.Loop.Post(func() { p.applyResult(ctx, result) })
 		})
 	}
 }
 
-// period returns the time until a peer is asked again.
+// period returns the time between two heartbeats to a peer.
 func (p *Prober) period() time.Duration {
-	spread := time.Duration(len(p.roster.entries)) * time.Second / maxProbesPerSecond
+	rateLimited := time.Duration(len(p.roster.entries)) * time.Second / maxProbesPerSecond
 	if p.cfg.MaxProbePeriod > 0 {
-		spread = min(spread, p.cfg.MaxProbePeriod)
+		rateLimited = min(rateLimited, p.cfg.MaxProbePeriod)
 	}
-	return max(p.cfg.ProbePeriod, spread)
+	return max(p.cfg.ProbePeriod, rateLimited)
 }
 
-// settle takes over a heartbeat's result; one refusal is confirmed at the next
-// tick. It runs on the loop.
-func (p *Prober) settle(ctx context.Context, result Probe) {
-	delete(p.busy, result.ID)
+// applyResult applies a heartbeat's result and publishes the new view. After a refused
+// connection that is not yet proof of death, the peer is due again at the next tick, to
+// confirm it. applyResult runs on the loop.
+func (p *Prober) applyResult(ctx context.Context, result Probe) {
+	delete(p.inFlight, result.ID)
 	if ctx.Err() != nil {
 		return
 	}
@@ -164,10 +168,11 @@
 	p.publish()
 	e := p.roster.entries[result.ID]
 	if e == nil || (e.refused > 0 && e.refused < goneAfter) {
-		delete(p.due, result.ID)
+		delete(p.nextProbe, result.ID)
 	}
 }
 
+// probe sends one heartbeat and waits for the response.
 func (p *Prober) probe(ctx context.Context, id, address string) Probe {
 	result := Probe{ID: id, Result: ProbeFailed, Sent: p.cfg.Clock.Now()}
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.ProbeTimeout)
@@ -185,12 +190,14 @@
 	return result
 }
 
+// self returns this VM's own state for a heartbeat or view.
 func (p *Prober) self() Peer {
 	self := p.cfg.Self
 	p.cfg.Local(&self)
 	return self
 }
 
+// publish publishes a new view. It runs on the loop.
 func (p *Prober) publish() {
 	p.roster.self = p.self()
 	p.view.Store(p.roster.view())
@@ -202,7 +209,7 @@
 	return server.PathPrefix(), server
 }
 
-// Hello implements the Member service.
+// Hello implements the Member service: it answers a heartbeat.
 func (p *Prober) Hello(context.Context, *peerpb.HelloRequest) (*peerpb.HelloResponse, error) {
 	return &peerpb.HelloResponse{Self: toProto(p.self())}, nil
 }
@@ -237,7 +244,8 @@
 	return info
 }
 
-// fromProto reads a heartbeat's answer that came between two times.
+// fromProto decodes the response to a heartbeat. The heartbeat was sent at sent and the response
+// received at received, which bound the time of the observations in it.
 func fromProto(i *peerpb.VMInfo, sent, received time.Time) Peer {
 	p := Peer{
 		ID:            i.GetId(),
@@ -267,7 +275,7 @@
 		})
 	}
 	for _, s := range i.GetSuspects() {
-		// One that can't be read is of a later version of the product.
+		// A suspect that cannot be decoded comes from a later version of the daemon.
 		if c, err := codec.Decode(s); err == nil {
 			p.Suspects = append(p.Suspects, c)
 		}
--- a/pkg/member/prober_test.go
+++ b/pkg/member/prober_test.go
@@ -33,7 +33,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("%s did not become %s: %+v", id, want, p.View().Peers)
+	t.Fatalf("peer %s did not become %s: %+v", id, want, p.View().Peers)
 	return Peer{}
 }
 
@@ -88,25 +88,25 @@
 	waitState(t, a, "c", Silent)
 	before := clock.System{}.Now()
 	if a.View().Dead("b", "b1", before) || a.View().Dead("c", "c1", 0) {
-		t.Error("a live or silent VM counts as dead")
+		t.Error("a live or silent VM is reported as dead")
 	}
 	_ = server.Close()
 	waitState(t, a, "b", Gone)
 	if !a.View().Dead("b", "b1", before) {
-		t.Error("a VM whose port refuses connections does not count as dead")
+		t.Error("a VM whose port refuses connections is not reported as dead")
 	}
 }
 
-// TestHeartbeatsCarrySuspects guards against VMs that start later, or were not reached by reports,
-// and know nothing of a request that crashes targets.
+// TestHeartbeatsCarrySuspects guards against VMs that send a request that crashes targets because they
+// started after its death reports, or because these did not reach them.
 func TestHeartbeatsCarrySuspects(t *testing.T) {
 	f := quarantine.NewFingerprint(quarantine.Base{1}, []byte("body"))
-	told := Peer{ID: "vm-1", Suspects: []quarantine.Case{{
+	sent := Peer{ID: "vm-1", Suspects: []quarantine.Case{{
 		Fingerprint: f, Trials: 1, Deaths: []quarantine.Death{{ID: "a@1", Target: "a", Prior: 1, Age: 2 * time.Second}},
 	}}}
 	now := time.Now()
-	heard := fromProto(toProto(told), now, now)
-	if diff := cmp.Diff(told.Suspects, heard.Suspects); diff != "" {
-		t.Error(diff)
+	received := fromProto(toProto(sent), now, now)
+	if diff := cmp.Diff(sent.Suspects, received.Suspects); diff != "" {
+		t.Errorf("suspects after a heartbeat (-want +got):\n%s", diff)
 	}
 }
--- a/pkg/member/roster.go
+++ b/pkg/member/roster.go
@@ -9,23 +9,22 @@
 )
 
 const (
-	// silentAfter is the number of unanswered heartbeats that make a peer Silent.
+	// silentAfter is the number of consecutive unanswered heartbeats that make a peer Silent.
 	silentAfter = 3
-	// goneAfter is the number of refused connections in a row that prove a
-	// peer's death. One more than needed, against a listener that is just
-	// being set up.
+	// goneAfter is the number of consecutive refused connections that prove a peer's
+	// death. One would be enough, but the peer's listener may be just starting.
 	goneAfter = 2
 )
 
-// ProbeResult is how a heartbeat ended.
+// ProbeResult is the outcome of a heartbeat.
 type ProbeResult uint8
 
 const (
-	// ProbeAnswered means that the peer named its incarnation.
+	// ProbeAnswered means that the peer responded with its state.
 	ProbeAnswered ProbeResult = iota
 	// ProbeRefused means that no process listens on the peer's port.
 	ProbeRefused
-	// ProbeFailed is every other failure; it says nothing about the peer.
+	// ProbeFailed is any other failure. It proves nothing about the peer.
 	ProbeFailed
 )
 
@@ -35,33 +34,35 @@
 	Result ProbeResult
 	// Sent is when the heartbeat was sent.
 	Sent clock.Time
-	// Peer is what the peer said of itself, where it answered.
+	// Peer is the state that the peer responded with, if Result is ProbeAnswered.
 	Peer Peer
 }
 
+// entry is what this VM knows of one peer.
 type entry struct {
-	peer     Peer
-	refused  int
-	failed   int
-	listed   storage.VMState
-	probedAt clock.Time
+	peer        Peer
+	refused     int
+	failed      int
+	listedState storage.VMState
+	probedAt    clock.Time
 }
 
-// roster folds lists and heartbeats into views. It has no clock and no I/O.
+// roster combines the platform's list and heartbeat results into views. It reads no clock and
+// does no I/O.
 type roster struct {
-	self     Peer
-	entries  map[string]*entry
-	complete bool
-	listed   clock.Time
+	self       Peer
+	entries    map[string]*entry
+	complete   bool
+	listReadAt clock.Time
 }
 
 func newRoster(self Peer) *roster {
 	return &roster{self: self, entries: map[string]*entry{}}
 }
 
-// applyList takes over the platform's list, read at started.
+// applyList applies the platform's list. The read of the list began at started.
 func (r *roster) applyList(vms []storage.VM, started clock.Time) {
-	r.complete, r.listed = true, started
+	r.complete, r.listReadAt = true, started
 	present := map[string]bool{}
 	for _, vm := range vms {
 		if vm.ID == r.self.ID {
@@ -74,7 +75,7 @@
 			r.entries[vm.ID] = e
 		}
 		e.peer.PeerAddress = vm.PeerAddress
-		e.listed = vm.State
+		e.listedState = vm.State
 		if vm.State == storage.VMLeaving && e.peer.State == Live {
 			e.peer.State = Leaving
 		}
@@ -86,8 +87,8 @@
 	}
 }
 
-// applyProbe takes over the result of a heartbeat. Results that were overtaken
-// by a later heartbeat are ignored.
+// applyProbe applies the result of a heartbeat. It ignores results that are older than
+// the last applied one.
 func (r *roster) applyProbe(p Probe) {
 	e := r.entries[p.ID]
 	if e == nil || p.Sent < e.probedAt {
@@ -119,14 +120,14 @@
 	e.refused, e.failed = 0, 0
 	e.peer = p.Peer
 	e.peer.ID, e.peer.PeerAddress, e.peer.Seen = p.ID, address, p.Sent
-	if e.listed == storage.VMLeaving && e.peer.State == Live {
+	if e.listedState == storage.VMLeaving && e.peer.State == Live {
 		e.peer.State = Leaving
 	}
 }
 
-// view returns the present picture.
+// view returns a snapshot with the peers sorted by ID.
 func (r *roster) view() *View {
-	v := &View{Self: r.self, Complete: r.complete, Listed: r.listed}
+	v := &View{Self: r.self, Complete: r.complete, ListReadAt: r.listReadAt}
 	for _, e := range r.entries {
 		v.Peers = append(v.Peers, e.peer)
 	}
--- a/pkg/member/roster_test.go
+++ b/pkg/member/roster_test.go
@@ -19,21 +19,21 @@
 		since   clock.Time
 		want    bool
 	}{
-		"answers":                        {probes: []Probe{answered("b", "b1", 20)}, since: 10, want: false},
-		"another incarnation answers":    {probes: []Probe{answered("b", "b2", 20)}, since: 10, want: true},
-		"answer older than the question": {probes: []Probe{answered("b", "b2", 5)}, since: 10, want: false},
-		"one refusal":                    {probes: []Probe{{ID: "b", Result: ProbeRefused, Sent: 20}}, since: 10, want: false},
+		"answers":                     {probes: []Probe{answered("b", "b1", 20)}, since: 10, want: false},
+		"another incarnation answers": {probes: []Probe{answered("b", "b2", 20)}, since: 10, want: true},
+		"answer older than since":     {probes: []Probe{answered("b", "b2", 5)}, since: 10, want: false},
+		"one refusal":                 {probes: []Probe{{ID: "b", Result: ProbeRefused, Sent: 20}}, since: 10, want: false},
 		"two refusals": {probes: []Probe{
 			{ID: "b", Result: ProbeRefused, Sent: 20}, {ID: "b", Result: ProbeRefused, Sent: 30},
 		}, since: 10, want: true},
-		"refusals apart": {probes: []Probe{
+		"refusals that are not consecutive": {probes: []Probe{
 			{ID: "b", Result: ProbeRefused, Sent: 20}, {ID: "b", Result: ProbeFailed, Sent: 25}, {ID: "b", Result: ProbeRefused, Sent: 30},
 		}, since: 10, want: false},
 		"silence": {probes: []Probe{
 			{ID: "b", Result: ProbeFailed, Sent: 20}, {ID: "b", Result: ProbeFailed, Sent: 25}, {ID: "b", Result: ProbeFailed, Sent: 30},
 		}, since: 10, want: false},
 		"removed from the list": {removed: true, since: 10, want: true},
-		"removed before":        {removed: true, since: 50, want: false},
+		"removed before since":  {removed: true, since: 50, want: false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
