--- a/pkg/health/health_test.go
+++ b/pkg/health/health_test.go
@@ -12,7 +12,7 @@
 
 const held = 3
 
-func good(t *Tracker, now clock.Time, n int) {
+func recordGoodResponses(t *Tracker, now clock.Time, n int) {
 	for range n {
 		t.Done(now, Sample{Kind: Good, Latency: 10 * time.Millisecond, Running: held, PoolLatency: 10 * time.Millisecond})
 	}
@@ -21,69 +21,69 @@
 func TestColdTargetStartsSlowly(t *testing.T) {
 	var tr Tracker
 	if n := tr.Allowed(0, held, 0); n != 1 {
-		t.Fatalf("a cold target gets %d", n)
+		t.Fatalf("a cold target may run %d requests, want 1", n)
 	}
-	good(&tr, 0, 1)
+	recordGoodResponses(&tr, 0, 1)
 	if n := tr.Allowed(0, held, 0); n != 2 {
-		t.Errorf("after one answer it gets %d", n)
+		t.Errorf("after one response the target may run %d requests, want 2", n)
 	}
-	good(&tr, 0, 2)
+	recordGoodResponses(&tr, 0, 2)
 	if n := tr.Allowed(0, held, 0); n != held {
-		t.Errorf("a warm target gets %d", n)
+		t.Errorf("a warm target may run %d requests, want %d", n, held)
 	}
 }
 
 func TestEjectionBacksOffAndTries(t *testing.T) {
 	var tr Tracker
-	good(&tr, 0, 20)
+	recordGoodResponses(&tr, 0, 20)
 	now := clock.Time(0)
 	for _, wait := range []time.Duration{ejectionBase, 2 * ejectionBase, 4 * ejectionBase} {
 		for range failuresToEject {
 			tr.Done(now, Sample{Kind: Broken})
 		}
 		if n := tr.Allowed(now.Add(wait-1), held, 0); n != 0 {
-			t.Fatalf("ejected target gets %d before %v", n, wait)
+			t.Fatalf("an ejected target may run %d requests before %v", n, wait)
 		}
 		now = now.Add(wait)
 		if tr.Allowed(now, held, 0) != 1 || tr.Allowed(now, held, 1) != 0 {
-			t.Fatalf("after %v the target gets no single trial", wait)
+			t.Fatalf("after %v the target does not get exactly one trial request", wait)
 		}
 	}
-	good(&tr, now, 1)
+	recordGoodResponses(&tr, now, 1)
 	if n := tr.Allowed(now, held, 0); n != 1 || tr.Ejected() {
-		t.Errorf("after a good trial the target gets %d", n)
+		t.Errorf("after a good trial the target may run %d requests, want 1; ejected: %v", n, tr.Ejected())
 	}
 }
 
 func TestOverloadLowersTheLimit(t *testing.T) {
 	for _, kind := range []Kind{Shed, Overloaded} {
 		var tr Tracker
-		good(&tr, 0, 20)
+		recordGoodResponses(&tr, 0, 20)
 		now := clock.Time(time.Second)
 		for range 10 {
 			now = now.Add(decreaseInterval)
 			tr.Done(now, Sample{Kind: kind})
 		}
 		if n := tr.Allowed(now.Add(shedPauseMax), held, 0); n != 1 {
-			t.Errorf("kind %d: limit %d", kind, n)
+			t.Errorf("kind %d: limit %d after repeated overload, want 1", kind, n)
 		}
 		if paused := tr.Allowed(now, held, 0) == 0; paused != (kind == Shed) {
-			t.Errorf("kind %d: paused %v", kind, paused)
+			t.Errorf("kind %d: paused = %v, want %v", kind, paused, kind == Shed)
 		}
 	}
 	var slow Tracker
-	good(&slow, 0, 20)
+	recordGoodResponses(&slow, 0, 20)
 	for i := range 20 {
 		now := clock.Time(0).Add(time.Duration(i) * decreaseInterval)
 		slow.Done(now, Sample{Kind: Good, Latency: time.Second, Running: held, PoolLatency: 10 * time.Millisecond})
 	}
 	if n := slow.Allowed(0, held, 0); n != 1 {
-		t.Errorf("a slow target gets %d", n)
+		t.Errorf("a slow target may run %d requests, want 1", n)
 	}
 }
 
-// TestReportsOnlyLower checks that no report raises what a target gets and
-// that only claims to drain or to be down take all of it.
+// TestReportsOnlyLower checks that no report raises the number of requests for a target, that
+// only a report of draining or being down may lower it to 0, and that old reports are ignored.
 func TestReportsOnlyLower(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tr Tracker
@@ -95,10 +95,10 @@
 		})
 		now := clock.Time(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "age"))
 		if n := tr.Reported(now, held, slots); n < 1 || n > held {
-			t.Fatalf("%d of %d held", n, held)
+			t.Fatalf("the report allows %d of %d held permits", n, held)
 		}
 		if now.Sub(0) >= reportLifetime && (tr.Draining(now) || tr.Down(now) || tr.Reported(now, held, slots) != held) {
-			t.Fatal("an old report counts")
+			t.Fatal("an expired report still has an effect")
 		}
 	})
 }
@@ -109,7 +109,7 @@
 		want          bool
 	}{{0, 7, true}, {3, 7, true}, {4, 7, false}, {7, 7, false}, {1, 2, true}, {1, 1, false}} {
 		if got := Believe(tc.down, tc.targets); got != tc.want {
-			t.Errorf("%d of %d down: %v", tc.down, tc.targets, got)
+			t.Errorf("%d of %d targets down: got %v, want %v", tc.down, tc.targets, got, tc.want)
 		}
 	}
 }
@@ -122,12 +122,12 @@
 		r, err := ParseReport(data, 9)
 		if err != nil {
 			if !errors.Is(err, ErrReport) {
-				t.Errorf("error %v", err)
+				t.Errorf("error %v is not ErrReport", err)
 			}
 			return
 		}
 		if r.Running < 0 || r.Slots < 0 || r.State == "" {
-			t.Errorf("report %+v", r)
+			t.Errorf("invalid report %+v was accepted", r)
 		}
 	})
 }
--- a/pkg/health/report.go
+++ b/pkg/health/report.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// reportLifetime is how long a report counts; reports lag.
+	// reportLifetime is how long a report is used. It bounds how outdated a report may be.
 	reportLifetime = 5 * time.Second
-	// coldLifetime is how long a target may call itself cold.
-	coldLifetime = 30 * time.Second
+	// maxColdTime is how long a target's report that it is cold is believed.
+	maxColdTime = 30 * time.Second
 )
 
-// ErrReport marks a load report that cannot be right.
+// ErrReport marks a load report that is malformed or has impossible values.
 var ErrReport = errors.New("invalid load report")
 
-// State is what a target says of itself.
+// State is the state that a target reports.
 type State string
 
 // The states of a load report.
@@ -29,22 +29,22 @@
 	StateCold     State = "cold"
 )
 
-// Report is a target's own word on its load. It may only lower what the
-// target gets: it lags, and it can be wrong.
+// Report is the load that a target reports of itself. A report may only lower the
+// number of requests for the target, because it lags behind and can be wrong.
 type Report struct {
 	Running int   `json:"running"`
 	Slots   int   `json:"slots"`
 	State   State `json:"state"`
-	// Unhealthy reports that the health endpoint refused.
+	// Unhealthy is set if the target's health endpoint reported a failure.
 	Unhealthy bool `json:"-"`
 
-	at        clock.Time
-	coldSince clock.Time
-	known     bool
+	receivedAt clock.Time
+	coldSince  clock.Time
+	known      bool
 }
 
-// ParseReport reads the JSON of a load endpoint. Unknown fields are ignored;
-// an absent state means ok, absent slots mean those of the settings.
+// ParseReport decodes the JSON of a load endpoint. Unknown fields are ignored. A
+// missing state means ok; missing slots default to the given slots of the settings.
 func ParseReport(data []byte, slots int) (Report, error) {
 	r := Report{Slots: slots}
 	if err := json.Unmarshal(data, &r); err != nil {
@@ -63,46 +63,47 @@
 	return Report{}, fmt.Errorf("%w: state %q", ErrReport, r.State)
 }
 
-// Observe takes in a report.
+// ApplyReport records a report that was received at now.
 func (t *Tracker) Observe(now clock.Time, r Report) {
-	r.at, r.known, r.coldSince = now, true, now
+	r.receivedAt, r.known, r.coldSince = now, true, now
 	if t.report.known && t.report.State == StateCold {
 		r.coldSince = t.report.coldSince
 	}
 	t.report = r
 }
 
-func (t *Tracker) reported(now clock.Time) bool {
-	return t.report.known && now.Sub(t.report.at) < reportLifetime
+// hasFreshReport reports whether the last report is younger than reportLifetime.
+func (t *Tracker) hasFreshReport(now clock.Time) bool {
+	return t.report.known && now.Sub(t.report.receivedAt) < reportLifetime
 }
 
-// Draining reports whether the target says that it leaves.
+// Draining reports whether the target reports that it is draining.
 func (t *Tracker) Draining(now clock.Time) bool {
-	return t.reported(now) && t.report.State == StateDraining
+	return t.hasFreshReport(now) && t.report.State == StateDraining
 }
 
-// Down reports whether the target claims that it can run nothing. The pool
-// decides whether to believe it: see Believe.
+// ReportedDown reports whether the target's report says that it can run no requests.
+// TrustDownReports tells whether the pool should believe such reports.
 func (t *Tracker) Down(now clock.Time) bool {
-	return t.reported(now) && (t.report.Unhealthy || t.report.Slots == 0)
+	return t.hasFreshReport(now) && (t.report.Unhealthy || t.report.Slots == 0)
 }
 
-// Believe tells whether claims to be down count: not where more than half of
-// the targets make them, since a fault of the reporting is then likelier than
-// one of the targets, and real failures still eject them.
+// TrustDownReports returns whether to believe the targets that report to be down. It
+// returns false if more than half of the targets do: a fault of the reporting is then
+// more likely than a fault of the targets, and real failures still eject targets.
 func Believe(down, targets int) bool { return 2*down <= targets }
 
-// Reported returns the most requests that the report leaves to a VM which
-// holds the given permits of a target with slots.
+// ReportedLimit returns how many requests a VM that holds the given number of permits
+// may run on a target with the given slots, according to the target's report.
 func (t *Tracker) Reported(now clock.Time, held, slots int) int {
-	if !t.reported(now) || t.report.Slots == 0 || slots <= 0 {
+	if !t.hasFreshReport(now) || t.report.Slots == 0 || slots <= 0 {
 		return held
 	}
 	allowed := held
 	if t.report.Slots < slots {
 		allowed = max(1, held*t.report.Slots/slots)
 	}
-	if t.report.State == StateCold && now.Sub(t.report.coldSince) < coldLifetime {
+	if t.report.State == StateCold && now.Sub(t.report.coldSince) < maxColdTime {
 		allowed = min(allowed, max(1, held/2))
 	}
 	return allowed
--- a/pkg/health/tracker.go
+++ b/pkg/health/tracker.go
@@ -1,6 +1,6 @@
-// Package health follows how well one target runs requests, as seen by one VM,
-// and bounds how many of the VM's permits for it may be in use. Its state
-// machines are pure: the caller passes the time.
+// Package health tracks how well a target runs the requests of one VM and bounds how
+// many of the VM's permits for the target may be in use at once. Its state machines
+// read no clock: the caller passes the time.
 package health
 
 import (
@@ -11,92 +11,96 @@
 )
 
 const (
-	// failuresToEject is how many transport failures in a row eject a target.
+	// failuresToEject is the number of consecutive transport failures that eject a target.
 	failuresToEject = 3
-	// ejectionBase is the first ejection's length; it doubles each time.
+	// ejectionBase is the duration of the first ejection. It doubles with each further
+	// ejection, up to ejectionMax.
 	ejectionBase = time.Second
 	ejectionMax  = 30 * time.Second
-	// ejectionMemory is how long a target must do well before its ejections
-	// are forgotten.
-	ejectionMemory = time.Minute
+	// ejectionReset is how long a target must be healthy until its ejection count is
+	// reset.
+	ejectionReset = time.Minute
 
-	// shedPauseBase is how long a target gets nothing after it shed a request
-	// at the lowest limit; it doubles with each one in a row.
+	// shedPauseBase is how long a target gets no requests after it shed one at the
+	// lowest limit. It doubles with each consecutive shed request, up to shedPauseMax.
 	shedPauseBase = 50 * time.Millisecond
 	shedPauseMax  = 2 * time.Second
 
-	// decrease is the factor on the limit when the target is overloaded.
-	decrease = 0.7
-	// decreaseInterval is the least time between two decreases, so that the
-	// answers to requests that were granted together count once.
+	// decreaseFactor is multiplied with the limit when the target is overloaded.
+	decreaseFactor = 0.7
+	// decreaseInterval is the least time between two decreases, so that the responses
+	// to requests that were sent together lower the limit only once.
 	decreaseInterval = 200 * time.Millisecond
-	// slowFactor is how many times slower than its pool a target may be.
+	// slowFactor is how many times slower than its pool a target may be before its limit
+	// is lowered.
 	slowFactor = 4
-	// slowMargin is the difference in latency below which it does not matter.
+	// slowMargin is the difference in latency up to which a target does not count as slow.
 	slowMargin = 5 * time.Millisecond
 
-	// latencyWeight is the part of a new sample in the moving average.
+	// latencyWeight is the weight of a new sample in the moving average.
 	latencyWeight = 0.2
 )
 
-// Kind classifies how a request ended, for judging its target.
+// Kind classifies the outcome of a request with regard to the target's health.
 type Kind uint8
 
-// The kinds of ends.
+// The kinds of outcomes.
 const (
-	// Good answers came whole and without a sign of overload.
+	// Good: the response was complete and showed no sign of overload.
 	Good Kind = iota
-	// Shed requests were refused by the target before running.
+	// Shed: the target refused the request before running it.
 	Shed
-	// Overloaded answers ran out of time or said that a back end is busy.
+	// Overloaded: the request timed out, or the response said that a server behind the
+	// target is busy.
 	Overloaded
-	// Broken connections gave no answer.
+	// Broken: the connection failed without a response.
 	Broken
-	// Refused connections show that nothing listens there.
+	// Refused: the connection was refused, so nothing listens on the target's port.
 	Refused
-	// Neutral ends say nothing of the target.
+	// Neutral: the outcome says nothing about the target.
 	Neutral
 )
 
-// Sample is the end of one request.
+// Sample is the outcome of one request.
 type Sample struct {
 	Kind    Kind
 	Latency time.Duration
-	// Running is how many requests this VM had running there, with this one.
+	// Running is how many requests of this VM ran on the target, including this one.
 	Running int
-	// PoolLatency is the usual latency of the pool; 0 where unknown.
+	// PoolLatency is the typical latency of the pool; 0 if unknown.
 	PoolLatency time.Duration
 }
 
-// Tracker follows one target. The zero value is a cold target.
+// Tracker tracks the health of one target. The zero value is a cold target.
 type Tracker struct {
-	// limit is 0 before the first grant.
+	// limit is the most concurrent requests; 0, which Allowed treats as 1, before the
+	// first response.
 	limit        float64
 	latency      time.Duration
 	lastDecrease clock.Time
 	decreased    bool
 
-	failures     int
-	ejections    int
-	ejected      bool
-	ejectedUntil clock.Time
-	healthySince clock.Time
+	consecutiveFailures int
+	ejections           int
+	ejected             bool
+	ejectedUntil        clock.Time
+	healthySince        clock.Time
 
-	sheds       int
-	pausedUntil clock.Time
+	consecutiveSheds int
+	pausedUntil      clock.Time
 
 	report Report
 }
 
-// Latency is the moving average of the good answers' latency; 0 before one.
+// Latency returns the moving average of the latency of good responses; 0 before the first.
 func (t *Tracker) Latency() time.Duration { return t.latency }
 
-// Ejected reports whether the target is shut out after transport failures,
-// or waits for its trial request.
+// Ejected reports whether the target is ejected after transport failures. It stays
+// ejected until its trial request succeeds.
 func (t *Tracker) Ejected() bool { return t.ejected }
 
-// Allowed returns how many requests may run on the target at once, of the held
-// permits, when it runs the given number.
+// Allowed returns how many of the held permits may be in use at once, while the given
+// number of requests run on the target.
 func (t *Tracker) Allowed(now clock.Time, held, running int) int {
 	if held <= 0 || now.Before(t.pausedUntil) {
 		return 0
@@ -110,43 +114,46 @@
 	return min(held, max(1, int(t.limit)))
 }
 
-// Done takes in the end of a request.
+// RecordOutcome records the outcome of a request.
 func (t *Tracker) Done(now clock.Time, s Sample) {
 	switch s.Kind {
 	case Good:
-		t.good(now, s)
+		t.recordGood(now, s)
 	case Shed:
-		t.shed(now)
+		t.recordShed(now)
 	case Overloaded:
-		t.answered(now)
-		t.slowDown(now)
+		t.recordResponse(now)
+		t.decreaseLimit(now)
 	case Broken:
-		t.broken(now, 1)
+		t.recordFailures(now, 1)
 	case Refused:
-		t.broken(now, failuresToEject)
+		t.recordFailures(now, failuresToEject)
 	case Neutral:
 	}
 }
 
-func (t *Tracker) good(now clock.Time, s Sample) {
+// recordGood raises the limit by one after as many good responses as the limit, while requests
+// use the whole limit. It lowers the limit instead if the target is slow.
+func (t *Tracker) recordGood(now clock.Time, s Sample) {
 	trial := t.ejected
-	t.answered(now)
-	t.sheds = 0
-	t.observe(s.Latency)
+	t.recordResponse(now)
+	t.consecutiveSheds = 0
+	t.updateLatency(s.Latency)
 	if trial {
 		return
 	}
-	if t.slow(s.PoolLatency) {
-		t.slowDown(now)
+	if t.isSlow(s.PoolLatency) {
+		t.decreaseLimit(now)
 		return
 	}
 	if float64(s.Running) >= t.limit-1 {
 		t.limit = max(1, t.limit)
-		t.limit += 1 / math.Floor(t.limit) // as many answers raise it by one
+		t.limit += 1 / math.Floor(t.limit) // limit good responses raise the limit by one
 	}
 }
 
-func (t *Tracker) observe(latency time.Duration) {
+// updateLatency adds a sample to the moving average.
+func (t *Tracker) updateLatency(latency time.Duration) {
 	if t.latency == 0 {
 		t.latency = max(latency, 1)
 		return
@@ -154,52 +161,56 @@
 	t.latency += time.Duration(latencyWeight * float64(latency-t.latency))
 }
 
-func (t *Tracker) slow(pool time.Duration) bool {
+// isSlow reports whether the target is much slower than its pool.
+func (t *Tracker) isSlow(pool time.Duration) bool {
 	return pool > 0 && t.latency > slowFactor*pool && t.latency-pool > slowMargin
 }
 
-// answered notes that the target is there: a trial has succeeded, and the
-// target starts again like a cold one.
-func (t *Tracker) answered(now clock.Time) {
-	t.failures = 0
+// recordResponse records that the target responded. It ends an ejection, whose trial has
+// then succeeded; the target starts again with the limit of a cold one.
+func (t *Tracker) recordResponse(now clock.Time) {
+	t.consecutiveFailures = 0
 	if t.ejected {
 		t.ejected = false
 		t.limit = 1
 		t.healthySince = now
 	}
-	if t.ejections > 0 && now.Sub(t.healthySince) > ejectionMemory {
+	if t.ejections > 0 && now.Sub(t.healthySince) > ejectionReset {
 		t.ejections = 0
 	}
 }
 
-func (t *Tracker) slowDown(now clock.Time) {
+// decreaseLimit lowers the limit, at most once per decreaseInterval.
+func (t *Tracker) decreaseLimit(now clock.Time) {
 	if t.decreased && now.Sub(t.lastDecrease) < decreaseInterval {
 		return
 	}
 	t.decreased = true
 	t.lastDecrease = now
-	t.limit = max(1, t.limit*decrease)
+	t.limit = max(1, t.limit*decreaseFactor)
 }
 
-// shed lowers the limit. At the lowest limit it pauses the target, since a
-// target that refuses at once looks idle and would attract every request.
-func (t *Tracker) shed(now clock.Time) {
-	t.answered(now)
+// recordShed lowers the limit. At the lowest limit it pauses the target: a target that
+// refuses requests at once looks idle and would otherwise attract every request.
+func (t *Tracker) recordShed(now clock.Time) {
+	t.recordResponse(now)
 	atLowest := t.limit < 2
-	t.slowDown(now)
+	t.decreaseLimit(now)
 	if !atLowest || now.Before(t.pausedUntil) {
 		return
 	}
-	t.pausedUntil = now.Add(backoff(shedPauseBase, shedPauseMax, t.sheds))
-	t.sheds++
+	t.pausedUntil = now.Add(backoff(shedPauseBase, shedPauseMax, t.consecutiveSheds))
+	t.consecutiveSheds++
 }
 
-func (t *Tracker) broken(now clock.Time, failures int) {
-	t.failures += failures
+// recordFailures adds transport failures. It ejects the target after failuresToEject of them,
+// or again after a failed trial.
+func (t *Tracker) recordFailures(now clock.Time, failures int) {
+	t.consecutiveFailures += failures
 	if t.ejected && now.Before(t.ejectedUntil) {
 		return
 	}
-	if !t.ejected && t.failures < failuresToEject {
+	if !t.ejected && t.consecutiveFailures < failuresToEject {
 		return
 	}
 	t.ejected = true
@@ -207,7 +218,7 @@
 	t.ejections++
 }
 
-// backoff returns base doubled n times, at most limit.
+// backoff returns base doubled n times, but at most limit.
 func backoff(base, limit time.Duration, n int) time.Duration {
 	for ; n > 0 && base < limit; n-- {
 		base *= 2
