--- a/pkg/control/loop.go
+++ b/pkg/control/loop.go
@@ -1,8 +1,10 @@
-// Package control runs the one goroutine that owns a VM's control state.
+// Package control provides the event loop: the single goroutine that owns a VM's
+// control state.
 //
 // State machines are plain values whose methods are called only on the loop.
 // I/O runs on other goroutines, which post its result back to the loop.
-// Traffic goroutines read what the loop publishes through atomic pointers.
+// Goroutines that serve requests read what the loop publishes through atomic
+// pointers.
 package control
 
 import (
@@ -11,7 +13,7 @@
 	"time"
 )
 
-// queueLength is how many posted events may wait before Post blocks.
+// queueLength is the number of posted functions that may be queued before Post blocks.
 const queueLength = 1024
 
 // Loop runs functions one at a time, in the order in which they were posted.
@@ -21,7 +23,7 @@
 	workers sync.WaitGroup
 }
 
-// NewLoop returns a loop that Run must drive.
+// NewLoop returns a loop. Its functions run only while Run runs.
 func NewLoop() *Loop {
 	return &Loop{events: make(chan func(), queueLength), done: make(chan struct{})}
 }
@@ -41,7 +43,7 @@
 	}
 }
 
-// Post hands f to the loop. It reports false where the loop has ended.
+// Post queues f for the loop. It returns false if the loop has ended.
 func (l *Loop) Post(f func()) bool {
 	select {
 	case l.events <- f:
@@ -51,8 +53,8 @@
 	}
 }
 
-// Call runs f on the loop and waits for it. It must not be called on the
-// loop. It reports false where the loop or ctx ended before f had run.
+// Call runs f on the loop and waits until it returns. Call must not be called on
+// the loop. It returns false if the loop or ctx ended before f had run.
 func (l *Loop) Call(ctx context.Context, f func()) bool {
 	ran := make(chan struct{})
 	if !l.Post(func() { f(); close(ran) }) {
@@ -68,7 +70,7 @@
 	}
 }
 
-// Go runs f on a goroutine of its own, for I/O. f must return when ctx ends.
+// Go runs f on a new goroutine, for I/O. f must return when ctx ends.
 func (l *Loop) Go(ctx context.Context, f func(ctx context.Context)) {
 	l.workers.Add(1)
 	go func() {
@@ -77,7 +79,7 @@
 	}()
 }
 
-// Every posts f at once and then each period until ctx ends.
+// Every posts f immediately and then once per period, until ctx ends.
 func (l *Loop) Every(ctx context.Context, period time.Duration, f func()) {
 	l.Go(ctx, func(ctx context.Context) {
 		ticker := time.NewTicker(period)
--- a/pkg/control/loop_test.go
+++ b/pkg/control/loop_test.go
@@ -15,16 +15,16 @@
 		l.Post(func() { got = append(got, i) })
 	}
 	if !l.Call(ctx, func() {}) {
-		t.Fatal("Call reported an ended loop")
+		t.Fatal("Call returned false on a running loop")
 	}
 	for i, v := range got {
 		if i != v {
-			t.Fatalf("event %d ran at place %d", v, i)
+			t.Fatalf("function %d ran at position %d", v, i)
 		}
 	}
 	cancel()
 	<-ended
 	if l.Post(func() {}) && l.Call(context.Background(), func() {}) {
-		t.Error("Call ran on an ended loop")
+		t.Error("Post and Call returned true on an ended loop")
 	}
 }
