--- a/pkg/edge/fleet.go
+++ b/pkg/edge/fleet.go
@@ -128,24 +128,24 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	vms := r.activeVMs(rows, now)
-	at := slices.IndexFunc(vms, func(v Registration) bool { return v.ID == r.self.ID })
+	index := slices.IndexFunc(vms, func(v Registration) bool { return v.ID == r.self.ID })
 	// Deferred, so that registered is only set after the VM's share is published.
-	defer r.registered.Store(at >= 0)
+	defer r.registered.Store(index >= 0)
 	defer r.vms.Store(&vms)
 	defer r.rows.Store(&rows)
 	old := r.holding.Load()
 	settled := r.settled.Load()
-	parts := r.nextShareCount(len(vms), len(rows)-len(vms), now)
-	keeps := parts <= maxFleetWithKeptSlots
+	shares := r.nextShareCount(len(vms), len(rows)-len(vms), now)
+	keeps := shares <= maxFleetWithKeptSlots
 	lends := settled || r.loanWaitEnded.Load()
 	var slots []lease.Slot
-	if at >= 0 && (keeps || lends) {
-		slots = append(slots, lease.Slot{Index: slotsPerVM * at, Since: r.started, Until: farFuture, New: keeps || settled, Kept: keeps})
+	if index >= 0 && (keeps || lends) {
+		slots = append(slots, lease.Slot{Index: slotsPerVM * index, Since: r.started, Until: farFuture, New: keeps || settled, Kept: keeps})
 	}
-	if at >= 0 && lends {
-		slots = append(slots, lease.Slot{Index: slotsPerVM*at + 1, Since: r.started, Until: farFuture, New: settled})
+	if index >= 0 && lends {
+		slots = append(slots, lease.Slot{Index: slotsPerVM*index + 1, Since: r.started, Until: farFuture, New: settled})
 	}
-	total := slotsPerVM * parts
+	total := slotsPerVM * shares
 	if old.Total == total && len(slots) == len(old.Slots) {
 		return
 	}
