--- a/pkg/edge/fleet_test.go
+++ b/pkg/edge/fleet_test.go
@@ -76,11 +76,11 @@
 	}
 }
 
-// TestLargeFleetKeepsNothing guards against refusals in a large fleet, where the kept slot of a
+// TestLargeFleetKeepsNoSlots guards against refusals in a large fleet, where the kept slot of a
 // small account would be less than one token and admit nothing on any VM (24,157 refusals
 // in one day with 62 VMs). There both slots are lendable, and after a restart both wait for
 // the loans of the earlier process.
-func TestLargeFleetKeepsNothing(t *testing.T) {
+func TestLargeFleetKeepsNoSlots(t *testing.T) {
 	for _, tt := range []struct {
 		vms, unsettled, kept int
 	}{{10, 1, 1}, {maxFleetWithKeptSlots, 1, 1}, {maxFleetWithKeptSlots + 1, 0, 0}, {62, 0, 0}} {
@@ -337,12 +337,12 @@
 		{5600, 6, 8, true},
 	} {
 		if got := b.shouldKick(tt.own, tt.newest, at(tt.ms)); got != tt.want {
-			t.Errorf("at %d ms, own %d, newest %d: kick = %v, want %v", tt.ms, tt.own, tt.newest, got, tt.want)
+			t.Errorf("at %d ms, own %d, newest %d: shouldKick returned %v", tt.ms, tt.own, tt.newest, got)
 		}
 	}
 }
 
-func TestNewestIsOfLivePeers(t *testing.T) {
+func TestNewestVersionsOfLivePeers(t *testing.T) {
 	v := &member.View{Peers: []member.Peer{
 		{State: member.Live, ConfigVersion: 3, ListVersion: 9},
 		{State: member.Live, ConfigVersion: 4, ListVersion: 8},
--- a/pkg/edge/limits_test.go
+++ b/pkg/edge/limits_test.go
@@ -43,7 +43,7 @@
 	for _, rate := range []float64{0, 0.01, 0.5, 1, 5.6, 40, 1e6, 1e300} {
 		a := limitAccount(&target.Live{}, target.Limit{Rate: rate, Named: true})
 		if a.Rate <= 0 || a.Rate > maxTargetRate {
-			t.Errorf("limit %v: account has rate %v, want above 0 and at most %v", rate, a.Rate, maxTargetRate)
+			t.Errorf("limit %v: account has rate %v, want above 0 and at most maxTargetRate", rate, a.Rate)
 		}
 		if most, allowed := a.Burst+a.Rate*window, factor*rate*window+slack; most > allowed {
 			t.Errorf("limit %v: account admits %v requests in %v s, allowed are %v", rate, most, window, allowed)
@@ -94,6 +94,6 @@
 	all[0].LimitNamed(4, now.Add(time.Second))
 	reported := observedLimits(all, now.Add(2*time.Second))
 	if len(reported) != maxReportedLimits || reported[0].Target != "i-0" || reported[0].Rate != 4 || reported[1].Target != fmt.Sprint("i-", len(all)-1) {
-		t.Errorf("%d limits reported, want %d with the latest changes first; the first two are %+v", len(reported), maxReportedLimits, reported[:2])
+		t.Errorf("%d limits reported, want maxReportedLimits with the latest changes first; the first two are %+v", len(reported), reported[:2])
 	}
 }
--- a/pkg/edge/stop_test.go
+++ b/pkg/edge/stop_test.go
@@ -29,7 +29,7 @@
 	broken := errors.New("broken")
 	d.listenerErrors <- broken
 	if err := d.Run(t.Context(), nil); !errors.Is(err, broken) {
-		t.Errorf("Run returned %v, want %v", err, broken)
+		t.Errorf("Run returned %v, want the listener's error", err)
 	}
 	if !d.leaving.Load() {
 		t.Error("Run returned without a graceful stop")
--- a/pkg/edge/suspects_test.go
+++ b/pkg/edge/suspects_test.go
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestRowTellsAllDeaths guards against a row that is written after the first deaths and never updated,
+// TestRowContainsAllDeaths guards against a row that is written after the first deaths and never updated,
 // so that a restarted fleet knows fewer deaths than before.
-func TestRowTellsAllDeaths(t *testing.T) {
+func TestRowContainsAllDeaths(t *testing.T) {
 	store, c := &fakeStore{rows: map[string]platform.Row{}}, clock.NewFake(1)
 	before := newTestSuspects(store, c)
 	for _, id := range []string{"a", "b", "c"} {
@@ -180,13 +180,13 @@
 		}
 	}
 	if granted != maxTrials {
-		t.Errorf("%d trials granted, want %d", granted, maxTrials)
+		t.Errorf("%d trials granted, want maxTrials", granted)
 	}
 }
 
-// TestRowOutlivesAFloodOfSuspects guards against a VM that removes the row of a request, and so
+// TestRowSurvivesEvictionFromTheList guards against a VM that removes the row of a request, and so
 // unblocks it on all VMs, because many other suspects have evicted the request from its list.
-func TestRowOutlivesAFloodOfSuspects(t *testing.T) {
+func TestRowSurvivesEvictionFromTheList(t *testing.T) {
 	store, c := &fakeStore{rows: map[string]platform.Row{}}, clock.NewFake(1)
 	s := newTestSuspects(store, c)
 	s.reportTwoDeaths()
--- a/pkg/health/health_test.go
+++ b/pkg/health/health_test.go
@@ -29,11 +29,11 @@
 	}
 	recordGoodResponses(&tr, 0, 2)
 	if n := tr.Allowed(0, held, 0); n != held {
-		t.Errorf("a warm target may run %d requests, want %d", n, held)
+		t.Errorf("a warm target may run %d requests, want all held permits", n)
 	}
 }
 
-func TestEjectionBacksOffAndTries(t *testing.T) {
+func TestEjectionBacksOffAndAllowsOneTrial(t *testing.T) {
 	var tr Tracker
 	recordGoodResponses(&tr, 0, 20)
 	now := clock.Time(0)
@@ -51,7 +51,7 @@
 	}
 	recordGoodResponses(&tr, now, 1)
 	if n := tr.Allowed(now, held, 0); n != 1 || tr.Ejected() {
-		t.Errorf("after a good trial the target may run %d requests, want 1; ejected: %v", n, tr.Ejected())
+		t.Errorf("after a good trial the target may run %d requests, want 1 and no ejection", n)
 	}
 }
 
@@ -68,7 +68,7 @@
 			t.Errorf("kind %d: limit %d after repeated overload, want 1", kind, n)
 		}
 		if paused := tr.Allowed(now, held, 0) == 0; paused != (kind == Shed) {
-			t.Errorf("kind %d: paused = %v, want %v", kind, paused, kind == Shed)
+			t.Errorf("kind %d: paused = %v, want a pause for Shed only", kind, paused)
 		}
 	}
 	var slow Tracker
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestReportsOnlyLower checks that no report raises the number of requests for a target, that
+// TestReportsOnlyLowerTheLimit checks that no report raises the number of requests for a target, that
 // only a report of draining or being down may lower it to 0, and that old reports are ignored.
-func TestReportsOnlyLower(t *testing.T) {
+func TestReportsOnlyLowerTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tr Tracker
 		slots := rapid.IntRange(1, 20).Draw(t, "slots")
@@ -103,13 +103,13 @@
 	})
 }
 
-func TestBelieve(t *testing.T) {
+func TestTrustDownReports(t *testing.T) {
 	for _, tc := range []struct {
 		down, targets int
 		want          bool
 	}{{0, 7, true}, {3, 7, true}, {4, 7, false}, {7, 7, false}, {1, 2, true}, {1, 1, false}} {
 		if got := Believe(tc.down, tc.targets); got != tc.want {
-			t.Errorf("%d of %d targets down: got %v, want %v", tc.down, tc.targets, got, tc.want)
+			t.Errorf("%d of %d targets down: reports trusted = %v", tc.down, tc.targets, got)
 		}
 	}
 }
--- a/pkg/member/period_test.go
+++ b/pkg/member/period_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestPeriodFollowsTheFleet checks that the time between two heartbeats to a peer grows
+// TestProbePeriodGrowsWithTheFleet checks that the time between two heartbeats to a peer grows
 // with the fleet, up to the bound that failure detection needs.
-func TestPeriodFollowsTheFleet(t *testing.T) {
+func TestProbePeriodGrowsWithTheFleet(t *testing.T) {
 	for _, tt := range []struct {
 		peers      int
 		bound, out time.Duration
--- a/pkg/member/prober_test.go
+++ b/pkg/member/prober_test.go
@@ -107,6 +107,6 @@
 	now := time.Now()
 	received := fromProto(toProto(sent), now, now)
 	if diff := cmp.Diff(sent.Suspects, received.Suspects); diff != "" {
-		t.Errorf("suspects after a heartbeat (-want +got):\n%s", diff)
+		t.Error(diff)
 	}
 }
