--- a/pkg/placement/balance.go
+++ b/pkg/placement/balance.go
@@ -7,68 +7,69 @@
 )
 
 const (
-	// comfortable is the utilization up to which a region takes the requests that
-	// its capacity brings: queues are short below it.
-	comfortable = 0.75
-	// maxShiftRate bounds how fast the part of a region's requests that changes
-	// region moves, a second, while capacity stays as it is. The platform allows
-	// 15 % from one 2 s window to the next, chance included.
+	// comfortableUtilization is the utilization up to which a region takes the requests that its
+	// capacity attracts: queues are short below it.
+	comfortableUtilization = 0.75
+	// maxShiftRate bounds how fast the share of a region's requests that changes region grows while
+	// capacity is constant, as a fraction per second. The platform allows 15 % from one 2 s window
+	// to the next, including random variation.
 	maxShiftRate = 0.03
-	// capacityJump is the change of a region's capacity, as a part of it, after
-	// which the parts follow at once: a disruption.
+	// capacityJump is the relative change of a region's capacity that counts as a disruption: the
+	// shares then follow at once.
 	capacityJump = 0.15
 )
 
-// Region is a region's capacity and demand for a pool, both in slots.
+// Region describes a region's capacity and demand for a pool, both in slots.
 type Region struct {
 	Name string
-	// Slots is how many requests its usable targets run at once.
+	// Slots is how many requests its usable targets can run at once.
 	Slots float64
-	// Sound is what Slots were if its usable targets named no limits; 0 is as many as Slots.
+	// Sound is what Slots would be if its usable targets named no limits; 0 means the same as
+	// Slots.
 	Sound float64
-	// Work is how many slots the requests of its callers need that may run in any
+	// Work is how many slots the requests of its callers need, without those that are bound to one
 	// region.
 	Work float64
-	// Bound is how many slots the requests need that may run nowhere else, from
-	// whatever region they come.
+	// Bound is how many slots the requests need that may run in this region only, wherever their
+	// callers are.
 	Bound float64
 }
 
-// Part is the part of a region's requests that run in a region.
+// Part is the fraction of a region's requests that runs in the region Region.
 type Part struct {
 	Region   string
 	Fraction float64
 }
 
-// Split returns where the requests of home's callers run. By capacity alone, a
-// region with the c-th part of the slots of R regions keeps min(1, c*R) of its own
-// requests; the rest goes to the regions that have more than 1/R. Where that
-// fills a region beyond the comfortable utilization, or the fleet's if that is
-// higher, the excess goes to those with room.
+// Split returns where the requests of home's callers run. By capacity alone, a region with a
+// fraction c of the slots of R regions keeps min(1, c*R) of its own requests, and the rest goes to
+// the regions with more than 1/R of the slots. If that raises a region above the comfortable
+// utilization, or above the fleet's utilization if that is higher, the excess goes to regions with
+// room.
 func Split(home string, regions []Region) []Part {
-	regions = free(regions)
+	regions = withoutBound(regions)
 	slices.SortFunc(regions, func(a, b Region) int { return cmp.Compare(a.Name, b.Name) })
-	flows := byCapacity(regions)
+	flows := flowsByCapacity(regions)
 	if flows == nil {
 		return nil
 	}
-	relieve(regions, flows)
+	moveExcess(regions, flows)
 	for i, r := range regions {
 		if r.Name != home {
 			continue
 		}
-		parts := make([]Part, len(regions))
+		shares := make([]Part, len(regions))
 		for j := range regions {
-			parts[j] = Part{Region: regions[j].Name, Fraction: flows[i][j]}
+			shares[j] = Part{Region: regions[j].Name, Fraction: flows[i][j]}
 		}
-		return parts
+		return shares
 	}
 	return nil
 }
 
-// free returns the regions with the slots that are left beside the requests that may
-// run nowhere else.
-func free(regions []Region) []Region {
+// withoutBound returns the regions with the slots that remain after the requests that may run in
+// one region only. If none remain, it returns the regions unchanged.
+func withoutBound(regions []Region) []Region {
 	out := slices.Clone(regions)
 	left := 0.0
 	for i, r := range out {
@@ -81,9 +82,9 @@
 	return out
 }
 
-// byCapacity returns, for each region, the fractions of its requests that run in
-// each region; nil where there is no capacity.
-func byCapacity(regions []Region) [][]float64 {
+// flowsByCapacity returns, for each region, the fractions of its requests that run in each region.
+// It returns nil if there is no capacity.
+func flowsByCapacity(regions []Region) [][]float64 {
 	total, count := 0.0, 0.0
 	for _, r := range regions {
 		total += r.Slots
@@ -115,8 +116,8 @@
 	return flows
 }
 
-// relieve moves what is too much for a region to those with room.
-func relieve(regions []Region, flows [][]float64) {
+// moveExcess moves the load that exceeds a region's level to regions with room.
+func moveExcess(regions []Region, flows [][]float64) {
 	slots, work := 0.0, 0.0
 	load := make([]float64, len(regions))
 	for i, r := range regions {
@@ -126,7 +127,7 @@
 			load[j] += r.Work * flows[i][j]
 		}
 	}
-	level := max(comfortable, work/slots)
+	level := max(comfortableUtilization, work/slots)
 	room := 0.0
 	for j, r := range regions {
 		room += max(0, level*r.Slots-load[j])
@@ -149,61 +150,60 @@
 	}
 }
 
-// Balancer keeps the parts of one pool and moves them slowly. One goroutine
-// owns it.
+// Balancer holds the shares of one pool's requests and changes them gradually. Only one goroutine
+// may use it.
 type Balancer struct {
-	parts []Part
-	slots map[string]float64
-	at    time.Time
+	shares []Part
+	slots  map[string]float64
+	at     time.Time
 }
 
-// Update takes in the regions as they are at now and returns the parts in force.
+// Update returns the shares in force at now, given the current state of the regions.
 func (b *Balancer) Update(home string, regions []Region, now time.Time) []Part {
 	want := Split(home, regions)
-	if b.jumps(regions) || len(b.parts) != len(want) { // there are none while no region has capacity
-		b.parts = want
+	if b.jumped(regions) || len(b.shares) != len(want) { // want is empty while no region has capacity
+		b.shares = want
 	} else {
-		b.parts = approach(b.parts, want, maxShiftRate*now.Sub(b.at).Seconds())
+		b.shares = approach(b.shares, want, maxShiftRate*now.Sub(b.at).Seconds())
 	}
 	b.at = now
-	return b.parts
+	return b.shares
 }
 
-// sound is the region's capacity as it changes in disruptions. What targets take of it under
-// their limits changes with each request's time, too.
-func (r Region) sound() float64 { return cmp.Or(r.Sound, r.Slots) }
+// capacity returns the capacity by which disruptions are detected. It ignores the targets' limits:
+// what targets take under a limit also varies with the duration of each request.
+func (r Region) capacity() float64 { return cmp.Or(r.Sound, r.Slots) }
 
-// jumps reports whether the capacity changed as in a disruption since the last
-// jump.
-func (b *Balancer) jumps(regions []Region) bool {
+// jumped reports whether the capacity has changed since the last jump as much as in a disruption.
+func (b *Balancer) jumped(regions []Region) bool {
 	changed := len(b.slots) != len(regions)
 	for _, r := range regions {
 		old := b.slots[r.Name]
-		if diff := r.sound() - old; max(diff, -diff) > capacityJump*max(r.sound(), old) {
+		if diff := r.capacity() - old; max(diff, -diff) > capacityJump*max(r.capacity(), old) {
 			changed = true
 		}
 	}
 	if changed {
 		b.slots = map[string]float64{}
 		for _, r := range regions {
-			b.slots[r.Name] = r.sound()
+			b.slots[r.Name] = r.capacity()
 		}
 	}
 	return changed
 }
 
-// approach moves parts towards want; step bounds the fraction that changes region.
-func approach(parts, want []Part, step float64) []Part {
+// approach moves shares towards want. step bounds the fraction of the requests that changes region.
+func approach(shares, want []Part, step float64) []Part {
 	moving := 0.0
 	for i := range want {
-		moving += max(0, want[i].Fraction-parts[i].Fraction)
+		moving += max(0, want[i].Fraction-shares[i].Fraction)
 	}
 	if moving <= step {
 		return want
 	}
 	out := make([]Part, len(want))
 	for i := range want {
-		out[i] = Part{Region: want[i].Region, Fraction: parts[i].Fraction + (want[i].Fraction-parts[i].Fraction)*step/moving}
+		out[i] = Part{Region: want[i].Region, Fraction: shares[i].Fraction + (want[i].Fraction-shares[i].Fraction)*step/moving}
 	}
 	return out
 }
--- a/pkg/placement/balance_test.go
+++ b/pkg/placement/balance_test.go
@@ -24,13 +24,13 @@
 		regions    []Region
 		want       map[string]float64
 	}{
-		{"large region keeps its own", "a", calm, map[string]float64{"a": 1, "b": 0, "c": 0}},
-		{"small region keeps its part of the capacity", "b", calm, map[string]float64{"a": 0.5, "b": 0.3, "c": 0.2}},
+		{"large region keeps its own requests", "a", calm, map[string]float64{"a": 1, "b": 0, "c": 0}},
+		{"small region keeps its share of the capacity", "b", calm, map[string]float64{"a": 0.5, "b": 0.3, "c": 0.2}},
 		{"no capacity at home", "b", []Region{{Name: "a", Slots: 10}, {Name: "b"}, {Name: "c", Slots: 10}}, map[string]float64{"a": 0.5, "b": 0, "c": 0.5}},
 		{"no capacity at all", "a", []Region{{Name: "a"}, {Name: "b"}}, map[string]float64{}},
-		// A wave that peaks in one region, half of whose targets are evacuated: by
-		// capacity it keeps 0.75, and 45 slots of work; 27 are comfortable.
-		{"wave on an evacuated region", "c", []Region{
+		// Demand peaks in a region that has lost half of its targets to an evacuation. By capacity
+		// it keeps 0.75, which is 45 slots of work; 27 are comfortable.
+		{"peak in a partly evacuated region", "c", []Region{
 			{Name: "a", Slots: 90, Work: 30}, {Name: "b", Slots: 18, Work: 10}, {Name: "c", Slots: 36, Work: 60},
 		}, map[string]float64{"a": 0.438, "b": 0.112, "c": 0.45}},
 		{"a burst on a full fleet is shared", "a", []Region{
@@ -54,8 +54,8 @@
 	return out
 }
 
-// TestSplitProperties: the parts of every region sum to 1, none is negative, and
-// no region gets more than the level that the fleet's demand asks for.
+// TestSplitProperties checks that the shares of every region sum to 1, that none is negative, and
+// that no region gets more load than the level that the fleet's demand requires.
 func TestSplitProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := drawRegions(t)
@@ -71,26 +71,26 @@
 			sum := 0.0
 			for _, p := range Split(home.Name, regions) {
 				if p.Fraction < 0 {
-					t.Fatalf("negative part %v", p)
+					t.Fatalf("negative share %v", p)
 				}
 				sum += p.Fraction
 				load[p.Region] += p.Fraction * home.Work
 			}
 			if math.Abs(sum-1) > 1e-9 {
-				t.Fatalf("parts of %s sum to %v", home.Name, sum)
+				t.Fatalf("shares of %s sum to %v, want 1", home.Name, sum)
 			}
 		}
-		level := max(comfortable, work/slots)
+		level := max(comfortableUtilization, work/slots)
 		for _, r := range regions {
 			if load[r.Name] > level*r.Slots+1e-6 {
-				t.Fatalf("region %s: load %v over %v", r.Name, load[r.Name], level*r.Slots)
+				t.Fatalf("region %s: load %v exceeds %v", r.Name, load[r.Name], level*r.Slots)
 			}
 		}
 	})
 }
 
-// TestBalancerMovesSlowly: with steady capacity, whatever the demand does, the
-// part of requests that changes region stays within the platform's bound.
+// TestBalancerMovesSlowly checks that the fraction of requests that changes region stays within the
+// platform's bound while capacity is constant, whatever the demand does.
 func TestBalancerMovesSlowly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Balancer{}
@@ -115,7 +115,7 @@
 	})
 }
 
-func TestBalancerFollowsALossAtOnce(t *testing.T) {
+func TestBalancerFollowsLossAtOnce(t *testing.T) {
 	b := &Balancer{}
 	now := time.Unix(0, 0)
 	b.Update("a", []Region{{Name: "a", Slots: 90}, {Name: "b", Slots: 90}}, now)
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestCapacityThatIsGoneForAWhile guards against a crash when the targets of all regions take
-// nothing for a while, though they are there.
-func TestCapacityThatIsGoneForAWhile(t *testing.T) {
+// TestTemporaryLossOfAllCapacity guards against a panic when the targets of all regions take no
+// requests for a while, though they are registered.
+func TestTemporaryLossOfAllCapacity(t *testing.T) {
 	b, now := &Balancer{}, time.Now()
 	update := func(slots float64) []Part {
 		now = now.Add(time.Second)
@@ -135,7 +135,7 @@
 	}
 	for _, slots := range []float64{9, 0, 9} {
 		if got, want := len(update(slots)), min(2, int(slots)); got != want {
-			t.Errorf("%d parts with %v slots, want %d", got, slots, want)
+			t.Errorf("%d shares with %v slots, want %d", got, slots, want)
 		}
 	}
 }
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -1,13 +1,11 @@
-// Package placement chooses where a request runs: by the object that it
-// concerns, so that each object is handled by few targets and stays warm there.
-// Its functions are pure.
+// Package placement chooses the target of a request by the object that it concerns, so that few
+// targets handle an object and it stays warm on them. Its functions are pure.
 //
-// An object's hash decides which region it goes to, by the parts that a Balancer
-// keeps; rendezvous hashing (Thaler and Ravishankar, 1998) then orders the
-// region's targets. Only the first of them that is not cold is a
-// candidate, with the cold ones before it: on any other target a request runs cold, takes
-// several times as long and misses its objective, and keeps a slot from those that
-// would be warm.
+// An object's hash selects its region by the shares that a Balancer maintains; rendezvous hashing
+// (Thaler and Ravishankar, 1998) then ranks the region's targets. Only the first target that is not
+// cold is a candidate, together with the cold ones that rank before it. On any other target the
+// request would run cold: it would take several times as long, miss its objective and occupy a slot
+// that a warm request could use.
 package placement
 
 import (
@@ -29,7 +27,7 @@
 	return d.Sum64()
 }
 
-// mix spreads the bits of x (the finalizer of SplitMix64).
+// mix mixes the bits of x (the finalizer of SplitMix64).
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -41,66 +39,66 @@
 // unit maps a hash to (0, 1).
 func unit(x uint64) float64 { return (float64(x>>11) + 0.5) / (1 << 53) }
 
-// regionSalt separates the choice of the region from that of the target.
+// regionSalt makes the choice of the region independent of the choice of the target.
 const regionSalt = 0x9e3779b97f4a7c15
 
-// ChooseRegions orders the regions for an object: first the one that its hash
-// chooses by the parts, then the others, the largest part first. Regions that
-// are not in usable are left out.
-func ChooseRegions(object uint64, parts []Part, usable func(region string) bool) []string {
+// ChooseRegions returns the regions for an object in order of preference: first the one that its
+// hash selects by the shares, then the others by descending share. Regions that are not usable are
+// left out.
+func ChooseRegions(object uint64, shares []Part, usable func(region string) bool) []string {
 	sum := 0.0
-	kept := make([]Part, 0, len(parts))
-	for _, p := range parts {
+	usableShares := make([]Part, 0, len(shares))
+	for _, p := range shares {
 		if usable(p.Region) {
-			kept = append(kept, p)
+			usableShares = append(usableShares, p)
 			sum += p.Fraction
 		}
 	}
-	if len(kept) == 0 {
+	if len(usableShares) == 0 {
 		return nil
 	}
 	u := unit(mix(object^regionSalt)) * sum
-	first := len(kept) - 1
-	for i, p := range kept {
+	first := len(usableShares) - 1
+	for i, p := range usableShares {
 		if u -= p.Fraction; u < 0 {
 			first = i
 			break
 		}
 	}
-	order := []string{kept[first].Region}
-	kept = slices.Delete(kept, first, first+1)
-	slices.SortStableFunc(kept, func(a, b Part) int { return cmp.Compare(b.Fraction, a.Fraction) })
-	for _, p := range kept {
+	order := []string{usableShares[first].Region}
+	usableShares = slices.Delete(usableShares, first, first+1)
+	slices.SortStableFunc(usableShares, func(a, b Part) int { return cmp.Compare(b.Fraction, a.Fraction) })
+	for _, p := range usableShares {
 		order = append(order, p.Region)
 	}
 	return order
 }
 
-// homePart is the least part of a region's requests that must run there for
-// bulky answers to stay: below, the region has no room.
-const homePart = 0.25
+// minHomeShare is the least share of a region's requests that must run there for bulky answers to
+// stay. Below it, the region has no room.
+const minHomeShare = 0.25
 
-// HomeFirst puts the caller's region first where it has room, as for bulky
-// answers, whose bytes cost more between regions than a cold run.
-func HomeFirst(order []string, home string, parts []Part) []string {
+// HomeFirst puts the caller's region first if it has room. It is meant for bulky answers, whose
+// transfer between regions costs more than a cold run.
+func HomeFirst(order []string, home string, shares []Part) []string {
 	at := slices.Index(order, home)
-	room := slices.ContainsFunc(parts, func(p Part) bool { return p.Region == home && p.Fraction >= homePart })
+	room := slices.ContainsFunc(shares, func(p Part) bool { return p.Region == home && p.Fraction >= minHomeShare })
 	if at <= 0 || !room {
 		return order
 	}
 	return slices.Insert(slices.Delete(slices.Clone(order), at, at+1), 0, home)
 }
 
-// Candidate is a target as the ranking sees it.
+// Candidate is a target as Rank sees it.
 type Candidate struct {
 	// ID is a hash of the target's identity.
 	ID uint64
-	// Slots weigh the target: it gets objects in proportion.
+	// Slots is the target's weight: it gets objects in proportion.
 	Slots int
 }
 
-// Rank returns the indexes of the n best candidates for an object, best first,
-// by weighted rendezvous hashing.
+// Rank returns the indexes of the n best candidates for an object, best first, by weighted
+// rendezvous hashing.
 func Rank(object uint64, candidates []Candidate, n int) []int {
 	type scored struct {
 		index int
@@ -128,14 +126,14 @@
 	return out
 }
 
-// Occupancy is what is known of a ranked candidate when a request comes.
+// Occupancy is the state of a ranked candidate when a request arrives.
 type Occupancy struct {
-	// Load is how many requests run or wait there.
+	// Load is the number of requests that run or wait there.
 	Load  int
 	Slots int
-	// Service is the mean time that a request keeps a slot there; 0 is unknown.
+	// Service is the mean time that a request occupies a slot there; 0 if unknown.
 	Service time.Duration
-	// Usable is false for targets that are suspect or may take no more now.
+	// Usable is false for targets that are suspect or can take no more requests now.
 	Usable bool
 }
 
@@ -148,29 +146,29 @@
 	return time.Duration(float64(queued) / float64(o.Slots) * float64(o.Service))
 }
 
-// How long a queue is depends on whether the target runs its objects warm.
+// The useful length of a queue depends on whether the target runs its objects warm.
 const (
-	// fullWait is how long a request may wait for a slot, relative to its latency
-	// objective.
-	fullWait = 0.7
-	// minQueue and maxQueue bound the load, relative to the slots, where requests
-	// queue whatever the prediction says.
-	minQueue = 1.3
-	maxQueue = 2.2
+	// maxWaitFraction is how long a request may wait for a slot, relative to its latency objective.
+	maxWaitFraction = 0.7
+	// minQueueLoad and maxQueueLoad bound the load, relative to the slots, up to which requests
+	// queue: below minQueueLoad they always do, from maxQueueLoad on never, whatever the predicted
+	// wait.
+	minQueueLoad = 1.3
+	maxQueueLoad = 2.2
 )
 
-// queues reports whether a request may queue at a candidate.
-func (o Occupancy) queues(longest time.Duration) bool {
+// mayQueue reports whether a request may queue at a candidate if it may wait for longest.
+func (o Occupancy) mayQueue(longest time.Duration) bool {
 	load := float64(o.Load)
-	if load >= maxQueue*float64(o.Slots) {
+	if load >= maxQueueLoad*float64(o.Slots) {
 		return false
 	}
-	return load < minQueue*float64(o.Slots) || o.wait() <= longest
+	return load < minQueueLoad*float64(o.Slots) || o.wait() <= longest
 }
 
-// Choose returns the index of the first candidate whose queue a request with a
-// latency objective can bear; -1 where there is none.
+// Choose returns the index of the first usable candidate whose queue is short enough for a request
+// with the given latency objective, or -1 if there is none.
 func Choose(candidates []Occupancy, objective time.Duration) int {
-	longest := time.Duration(fullWait * float64(objective))
-	return slices.IndexFunc(candidates, func(c Occupancy) bool { return c.Usable && c.queues(longest) })
+	longest := time.Duration(maxWaitFraction * float64(objective))
+	return slices.IndexFunc(candidates, func(c Occupancy) bool { return c.Usable && c.mayQueue(longest) })
 }
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -17,7 +17,7 @@
 	return out
 }
 
-// TestRankIsStable: without one target, only the objects that it had move.
+// TestRankIsStable checks that removing a target moves only the objects that it had.
 func TestRankIsStable(t *testing.T) {
 	all := pool(20)
 	for object := range uint64(2000) {
@@ -41,7 +41,7 @@
 		}
 	}
 	if share := float64(n) / objects; share < 0.73 || share > 0.77 {
-		t.Errorf("a target with three quarters of the slots got %.3f of the objects", share)
+		t.Errorf("a target with three quarters of the slots got %.3f of the objects, want 0.73 to 0.77", share)
 	}
 }
 
@@ -64,10 +64,10 @@
 	}
 	only := ChooseRegions(1, parts, func(r string) bool { return r == "c" })
 	if len(only) != 1 || only[0] != "c" {
-		t.Errorf("only c is usable, got %v", only)
+		t.Errorf("got %v, want only c, the usable region", only)
 	}
 	if got := ChooseRegions(1, parts, func(string) bool { return false }); got != nil {
-		t.Errorf("nothing is usable, got %v", got)
+		t.Errorf("got %v though no region is usable", got)
 	}
 }
 
@@ -109,13 +109,13 @@
 		{"free", []Occupancy{occupied(0, warm), occupied(0, warm)}, 0},
 		{"a short queue is better than a cold run", []Occupancy{occupied(16, warm), occupied(0, warm)}, 0},
 		{"a queue within the objective is better than a cold run", []Occupancy{occupied(18, warm), occupied(8, warm)}, 0},
-		{"the first is out of the question", []Occupancy{occupied(20, warm), occupied(9, warm)}, 1},
-		{"both queue too long", []Occupancy{occupied(20, warm), occupied(20, warm)}, -1},
+		{"the queue of the first is too long", []Occupancy{occupied(20, warm), occupied(9, warm)}, 1},
+		{"both queues are too long", []Occupancy{occupied(20, warm), occupied(20, warm)}, -1},
 		{"the first is cold", []Occupancy{unusable, occupied(16, warm)}, 1},
 		{"all targets run cold: queues stay short", []Occupancy{occupied(13, cold), occupied(13, cold)}, -1},
-		{"all targets run cold: a little queue", []Occupancy{occupied(11, cold), occupied(11, cold)}, 0},
-		{"nothing is known of the time", []Occupancy{occupied(15, 0), occupied(0, 0)}, 0},
-		{"none", nil, -1},
+		{"all targets run cold: a short queue is used", []Occupancy{occupied(11, cold), occupied(11, cold)}, 0},
+		{"unknown service time", []Occupancy{occupied(15, 0), occupied(0, 0)}, 0},
+		{"no candidates", nil, -1},
 	} {
 		if got := Choose(tt.c, objective); got != tt.want {
 			t.Errorf("%s: got %d, want %d", tt.name, got, tt.want)
--- a/pkg/placement/sim_test.go
+++ b/pkg/placement/sim_test.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// The simulated region: each target runs simSlots requests at once, queues the
-// others and keeps the simKept objects warm that it ran last.
+// The simulated region: each target runs simSlots requests at once, queues the others and keeps the
+// simWarmObjects most recent objects warm.
 const (
-	simTargets   = 10
-	simSlots     = 9
-	simKept      = 50
-	simObjects   = 220
-	simWarm      = 110 * time.Millisecond
-	simCold      = 360 * time.Millisecond
-	simObjective = 250 * time.Millisecond
+	simTargets     = 10
+	simSlots       = 9
+	simWarmObjects = 50
+	simObjects     = 220
+	simWarm        = 110 * time.Millisecond
+	simCold        = 360 * time.Millisecond
+	simObjective   = 250 * time.Millisecond
 )
 
 type simRequest struct {
@@ -26,10 +26,10 @@
 	object int
 }
 
-// simEvent is a request that comes or ends.
+// simEvent is the arrival or the end of a request.
 type simEvent struct {
 	at     time.Duration
-	target int // -1 for one that comes
+	target int // -1 for an arrival
 	simRequest
 }
 
@@ -49,20 +49,20 @@
 type simTarget struct {
 	running int
 	queue   []simRequest
-	kept    []int // the objects, the one that ran last at the end
+	warm    []int // warm objects, the most recent last
 }
 
-// start runs a request and returns how long it takes.
+// start runs a request and returns its duration.
 func (s *simTarget) start(r simRequest) time.Duration {
 	s.running++
 	took := simCold
-	if i := slices.Index(s.kept, r.object); i >= 0 {
-		s.kept = slices.Delete(s.kept, i, i+1)
+	if i := slices.Index(s.warm, r.object); i >= 0 {
+		s.warm = slices.Delete(s.warm, i, i+1)
 		took = simWarm
 	}
-	s.kept = append(s.kept, r.object)
-	if len(s.kept) > simKept {
-		s.kept = s.kept[1:]
+	s.warm = append(s.warm, r.object)
+	if len(s.warm) > simWarmObjects {
+		s.warm = s.warm[1:]
 	}
 	return took
 }
@@ -70,8 +70,8 @@
 // simPolicy returns the target of a request, or -1 to refuse it.
 type simPolicy func(object int, load []Occupancy, rng *rand.Rand) int
 
-// simulate returns the part of the requests that came in [from, to) and were
-// answered within their objective.
+// simulate returns the fraction of the requests arriving in [from, to) that were answered within
+// their objective.
 func simulate(rate func(time.Duration) float64, from, to time.Duration, policy simPolicy, seed uint64) float64 {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var events simEvents
@@ -84,7 +84,7 @@
 	begin := func(i int, r simRequest, now time.Duration) {
 		heap.Push(&events, simEvent{now + targets[i].start(r), i, r})
 	}
-	asked, good := 0, 0
+	arrived, good := 0, 0
 	for len(events) > 0 {
 		e := heap.Pop(&events).(simEvent)
 		measured := e.simRequest.at >= from && e.simRequest.at < to
@@ -102,7 +102,7 @@
 			continue
 		}
 		if measured {
-			asked++
+			arrived++
 		}
 		load := make([]Occupancy, simTargets)
 		for i := range targets {
@@ -118,31 +118,32 @@
 			targets[i].queue = append(targets[i].queue, e.simRequest)
 		}
 	}
-	return float64(good) / float64(asked)
+	return float64(good) / float64(arrived)
 }
 
-// ranked calls f with the occupancy of an object's n best targets.
-func ranked(object, n int, load []Occupancy, f func([]Occupancy) int) int {
+// chooseRanked calls choose with the occupancy of an object's n best targets and returns the target
+// that it selects, or -1.
+func chooseRanked(object, n int, load []Occupancy, choose func([]Occupancy) int) int {
 	order := Rank(Hash("route", fmt.Sprint(object)), pool(simTargets), n)
 	candidates := make([]Occupancy, n)
 	for i, t := range order {
 		candidates[i] = load[t]
 	}
-	if i := f(candidates); i >= 0 {
+	if i := choose(candidates); i >= 0 {
 		return order[i]
 	}
 	return -1
 }
 
-// policies are the present one and those that it is measured against.
+// policies are the present one and alternatives that it is compared with.
 var policies = map[string]simPolicy{
 	"one target an object": func(object int, load []Occupancy, _ *rand.Rand) int {
-		return ranked(object, 1, load, func(c []Occupancy) int { return Choose(c, simObjective) })
+		return chooseRanked(object, 1, load, func(c []Occupancy) int { return Choose(c, simObjective) })
 	},
-	// The rule before: a free second target is better than a long queue.
+	// The previous rule: a free second target is better than a long queue.
 	"two targets an object": func(object int, load []Occupancy, _ *rand.Rand) int {
-		return ranked(object, 2, load, func(c []Occupancy) int {
-			if c[0].queues(simObjective * 45 / 100) {
+		return chooseRanked(object, 2, load, func(c []Occupancy) int {
+			if c[0].mayQueue(simObjective * 45 / 100) {
 				return 0
 			}
 			if float64(c[1].Load) < 0.9*float64(c[1].Slots) {
@@ -153,16 +154,16 @@
 	},
 	"random target": func(_ int, load []Occupancy, rng *rand.Rand) int {
 		i := rng.IntN(simTargets)
-		if load[i].queues(simObjective * 70 / 100) {
+		if load[i].mayQueue(simObjective * 70 / 100) {
 			return i
 		}
 		return -1
 	},
 }
 
-// TestLoadOnAFleetOfWarmTargets: patterns of load in which a fleet runs its objects
-// warm well within its capacity and cold far beyond it.
-func TestLoadOnAFleetOfWarmTargets(t *testing.T) {
+// TestLoadOnFleetOfWarmTargets compares the policies under loads that a fleet serves well within
+// its capacity if its objects run warm, and that exceed its capacity by far if they run cold.
+func TestLoadOnFleetOfWarmTargets(t *testing.T) {
 	const capacity = simTargets * simSlots / 0.110 // warm requests a second
 	constant := func(part float64) func(time.Duration) float64 {
 		return func(time.Duration) float64 { return part * capacity }
@@ -172,7 +173,7 @@
 		rate     func(time.Duration) float64
 		from, to time.Duration
 	}{
-		{"every object is cold, as at a start", constant(0.55), 0, 2 * time.Second},
+		{"every object is cold, as after a start", constant(0.55), 0, 2 * time.Second},
 		{"a burst on a warm fleet", func(at time.Duration) float64 {
 			if at > 8*time.Second && at < 10*time.Second {
 				return 1.2 * capacity
@@ -192,7 +193,7 @@
 			}
 			for name, part := range got {
 				if part > got["one target an object"]+0.01 {
-					t.Errorf("%s serves more: %.3f against %.3f", name, part, got["one target an object"])
+					t.Errorf("%s serves more within the objective: %.3f against %.3f", name, part, got["one target an object"])
 				}
 			}
 		})
