--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -1,4 +1,4 @@
-// Package outcome names what became of a request and why it was refused.
+// Package outcome defines the outcomes of requests and the reasons for refusals.
 package outcome
 
 import (
@@ -12,9 +12,9 @@
 const (
 	// Unknown means that a target may have run the request.
 	Unknown Outcome = iota
-	// NotRun means that no target ran the request or ever will.
+	// NotRun means that no target has run the request or ever will.
 	NotRun
-	// Done means that a target ran the request and its answer is whole.
+	// Done means that a target ran the request and its answer is complete.
 	Done
 )
 
@@ -59,18 +59,18 @@
 	Reason  Reason
 	// Status is the HTTP status code of the answer.
 	Status int
-	// RetryAfter is when the caller may ask again; 0 says nothing about it.
+	// RetryAfter is when the caller may retry; 0 makes no statement.
 	RetryAfter time.Duration
-	// Detail is one sentence for people. It never holds a key.
+	// Detail is one sentence for humans. It never contains a key.
 	Detail string
 }
 
-// Error makes a Refusal usable as an error.
+// Error implements error.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("%s (%s): %s", r.Reason, r.Outcome, r.Detail)
 }
 
-// Refuse returns a Refusal of a request that no target has seen.
+// Refuse returns the Refusal of a request that no target has received.
 func Refuse(status int, reason Reason, retryAfter time.Duration, detail string) *Refusal {
 	return &Refusal{Outcome: NotRun, Reason: reason, Status: status, RetryAfter: retryAfter, Detail: detail}
 }
