--- a/pkg/peek/peek.go
+++ b/pkg/peek/peek.go
@@ -1,4 +1,4 @@
-// Package peek looks at what a connection has received without reading it.
+// Package peek inspects the unread data of a connection without reading it.
 package peek
 
 import (
@@ -8,17 +8,17 @@
 	"syscall"
 )
 
-// State is what a connection has received that was not read yet.
+// State tells what a connection has received that was not read yet.
 type State uint8
 
 const (
-	// Unknown states are those of connections that can't be looked at.
+	// Unknown: the connection cannot be inspected.
 	Unknown State = iota
-	// Nothing: the other side is silent.
+	// Nothing: no unread data, and the connection is open.
 	Nothing
-	// Bytes were sent.
+	// Bytes: there is unread data.
 	Bytes
-	// End: the other side has ended or reset the connection.
+	// End: the connection was closed or reset.
 	End
 )
 
@@ -33,7 +33,7 @@
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
-		return End // it is closed
+		return End // the connection is closed
 	}
 	state := End
 	err = raw.Control(func(fd uintptr) {
--- a/pkg/peek/peek_test.go
+++ b/pkg/peek/peek_test.go
@@ -41,20 +41,20 @@
 		t.Fatal(err)
 	}
 	expect("bytes sent", near, peek.Bytes)
-	expect("bytes sent, looked at again", near, peek.Bytes)
+	expect("bytes sent, after an earlier look", near, peek.Bytes)
 	if _, err := near.Read(make([]byte, 2)); err != nil {
 		t.Fatal(err)
 	}
 	expect("bytes read", near, peek.Nothing)
 	far.Close()
-	expect("closed there", near, peek.End)
+	expect("closed by the peer", near, peek.End)
 	near, far = pair()
 	_ = far.(*net.TCPConn).SetLinger(0)
 	far.Close()
-	expect("reset there", near, peek.End)
+	expect("reset by the peer", near, peek.End)
 	near, _ = pair()
 	near.Close()
-	expect("closed here", near, peek.End)
+	expect("closed locally", near, peek.End)
 	piped, _ := net.Pipe()
-	expect("no socket", piped, peek.Unknown)
+	expect("not a socket", piped, peek.Unknown)
 }
