--- a/pkg/ingress/poison.go
+++ b/pkg/ingress/poison.go
@@ -17,7 +17,7 @@
 	// endCheckTimeout bounds the check whether a target's process has ended: three round trips
 	// between the farthest regions.
 	endCheckTimeout = 350 * time.Millisecond
-	// maxHashedBody is how much of a body distinguishes requests.
+	// maxHashedBody is how many bytes of a body are used to tell requests apart.
 	maxHashedBody = 8 << 20
 	// trialRetryAfter is the retry time of a request that another VM is sending as a trial.
 	trialRetryAfter = time.Second
--- a/pkg/ingress/run.go
+++ b/pkg/ingress/run.go
@@ -23,8 +23,8 @@
 	// maxBufferedAnswer is the longest answer that is read whole before the caller gets its first
 	// byte, so that the request can be retried if the answer breaks off.
 	maxBufferedAnswer = 1 << 20
-	// fullRetryMin and fullRetryMax bound the retry time of a request for which no target has room:
-	// a part of the mean time that a request occupies a slot.
+	// fullRetryMin and fullRetryMax bound the retry time of a request for which no target has room.
+	// They are a fraction of the mean time that a request occupies a slot.
 	fullRetryMin = 100 * time.Millisecond
 	fullRetryMax = 400 * time.Millisecond
 	// freeSlotsRetryMin and freeSlotsRetryMax are the same if a target refused although it had free
