--- a/pkg/placement/balance.go
+++ b/pkg/placement/balance.go
@@ -24,14 +24,14 @@
 	Name string
 	// Slots is how many requests its usable targets can run at once.
 	Slots float64
-	// Sound is what Slots would be if its usable targets named no limits; 0 means the same as
-	// Slots.
+	// Sound is what Slots would be if its usable targets named no limits. 0 means the
+	// same as Slots.
 	Sound float64
-	// Work is how many slots the requests of its callers need, without those that are bound to one
-	// region.
+	// Work is how many slots the requests of its callers need, without those that are
+	// bound to one region.
 	Work float64
-	// Bound is how many slots the requests need that may run in this region only, wherever their
-	// callers are.
+	// Bound is how many slots the requests need that may run in this region only,
+	// wherever their callers are.
 	Bound float64
 }
 
--- a/pkg/placement/balance_test.go
+++ b/pkg/placement/balance_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-func fractions(parts []Part) map[string]float64 {
+func fractions(shares []Part) map[string]float64 {
 	m := map[string]float64{}
-	for _, p := range parts {
+	for _, p := range shares {
 		m[p.Region] = math.Round(p.Fraction*1000) / 1000
 	}
 	return m
--- a/pkg/placement/sim_test.go
+++ b/pkg/placement/sim_test.go
@@ -165,8 +165,8 @@
 // its capacity if its objects run warm, and that exceed its capacity by far if they run cold.
 func TestLoadOnFleetOfWarmTargets(t *testing.T) {
 	const capacity = simTargets * simSlots / 0.110 // warm requests a second
-	constant := func(part float64) func(time.Duration) float64 {
-		return func(time.Duration) float64 { return part * capacity }
+	constant := func(fraction float64) func(time.Duration) float64 {
+		return func(time.Duration) float64 { return fraction * capacity }
 	}
 	for _, tt := range []struct {
 		pattern  string
@@ -191,9 +191,9 @@
 				}
 				t.Logf("%s: %.3f within the objective", name, got[name])
 			}
-			for name, part := range got {
-				if part > got["one target an object"]+0.01 {
-					t.Errorf("%s serves more within the objective: %.3f against %.3f", name, part, got["one target an object"])
+			for name, fraction := range got {
+				if fraction > got["one target an object"]+0.01 {
+					t.Errorf("%s serves more within the objective: %.3f against %.3f", name, fraction, got["one target an object"])
 				}
 			}
 		})
