--- a/pkg/target/backoff.go
+++ b/pkg/target/backoff.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// maxBackoffSpread bounds by how much a VM prolongs the time in which a target wants nothing, so that
-// not all VMs come back to it at the same moment.
-const maxBackoffSpread = 500 * time.Millisecond
+// maxBackoffJitter bounds the random delay that a VM adds to a target's back-off, so that the VMs do
+// not all return to the target at the same moment.
+const maxBackoffJitter = 500 * time.Millisecond
 
-// SetLeaving takes in that the target says it leaves. It holds for this incarnation whatever the
-// platform's list says. It reports whether that was not known.
+// SetLeaving records that the target has announced that it is leaving. The announcement holds for
+// this incarnation whatever the platform's list of targets says. It reports whether the announcement
+// is new.
 func (l *Live) SetLeaving() bool { return !l.leaving.Swap(true) }
 
-// Leaving reports whether the target has said that it leaves.
+// Leaving reports whether the target has announced that it is leaving.
 func (l *Live) Leaving() bool { return l.leaving.Load() }
 
-// BackOff takes in at now that the target wants nothing from this VM for d. Of several words the one
-// that lasts longest holds.
+// BackOff records that at now the target asked this VM to send it nothing for d. If there are several
+// such requests, the one that ends last applies.
 func (l *Live) BackOff(d time.Duration, now time.Time) {
 	if d <= 0 {
 		return
 	}
-	until := instant(now.Add(d + rand.N(min(d, maxBackoffSpread)+1)))
+	until := instant(now.Add(d + rand.N(min(d, maxBackoffJitter)+1)))
 	for {
 		old := l.backoffUntil.Load()
 		if (old != 0 && until <= old) || l.backoffUntil.CompareAndSwap(old, until) {
@@ -31,7 +32,7 @@
 	}
 }
 
-// BackoffLeft is how much longer the target wants nothing from this VM; 0 where it does not say so.
+// BackoffLeft returns how much longer this VM must not send to the target, 0 if it may send.
 func (l *Live) BackoffLeft(now time.Time) time.Duration {
 	until := l.backoffUntil.Load()
 	if until == 0 {
@@ -40,14 +41,15 @@
 	return max(0, time.Duration(until-instant(now)))
 }
 
-// TakesWork reports whether requests may be sent to the target now, as far as its health and its
-// own words go. What it takes while it is cold or limited is counted by those who send.
+// TakesWork reports whether requests may be sent to the target now, judging by its health and by what
+// it has announced. Senders enforce the lower rate of a cold or limited target themselves.
 func (l *Live) TakesWork(now time.Time) bool {
 	return l.Sound() && !l.Leaving() && l.BackoffLeft(now) == 0
 }
 
-// inherit takes over what the target has said of itself under an entry that differs otherwise.
-func (l *Live) inherit(from *Live) {
+// copyAnnouncements copies what the target has announced from the state of the same incarnation under an entry
+// that differs in other fields.
+func (l *Live) copyAnnouncements(from *Live) {
 	l.leaving.Store(from.leaving.Load())
 	l.backoffUntil.Store(from.backoffUntil.Load())
 }
--- a/pkg/target/backoff_test.go
+++ b/pkg/target/backoff_test.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// TestWordOfALeavingTargetOutlivesTheList guards against a target that gets requests again as a
+// TestLeavingStateOutlivesListUpdates guards against sending to a leaving target again because a
 // late or stale read of the list says that it is ready.
-func TestWordOfALeavingTargetOutlivesTheList(t *testing.T) {
+func TestLeavingStateOutlivesListUpdates(t *testing.T) {
 	now := time.Now()
 	r := NewRegistry(map[string]string{"fd": "east"}, now)
 	e := Entry{Target: Target{ID: "i", Address: "127.0.0.1:1", FailureDomain: "fd", Slots: 9}, Pool: "s", Born: 1}
 	l, _ := r.Upsert(e, true, now)
 	r.Publish(1)
 	if !l.SetLeaving() || l.SetLeaving() || r.Publish(1).Admits(l, now) {
-		t.Fatal("a leaving target is used")
+		t.Fatal("a leaving target is still admitted")
 	}
 	l, _ = r.Upsert(e, false, now)
 	if !l.Leaving() {
-		t.Error("the list's word took it back")
+		t.Error("an update from the list cleared the leaving state")
 	}
 	e.Slots = 8
 	l, _ = r.Upsert(e, false, now)
 	if !l.Leaving() {
-		t.Error("an entry that differs otherwise took it back")
+		t.Error("an entry with other slots cleared the leaving state")
 	}
 	r.Remove([]string{e.ID}, false, 0, now)
 	l, _ = r.Upsert(e, false, now)
 	if !l.Leaving() {
-		t.Error("an entry that vanished and returned took it back")
+		t.Error("an entry that was removed and added again cleared the leaving state")
 	}
-	if all, _ := UsableSlots([]*Live{l}, now); all != 0 {
-		t.Errorf("it has %v usable slots", all)
+	if total, _ := UsableSlots([]*Live{l}, now); total != 0 {
+		t.Errorf("the leaving target has %v usable slots, want 0", total)
 	}
 	e.Born = 2
 	if l, _ = r.Upsert(e, false, now); l.Leaving() {
-		t.Error("it holds for the next incarnation")
+		t.Error("the leaving state carries over to the next incarnation")
 	}
 }
 
@@ -45,22 +45,22 @@
 	l.BackOff(0, now)
 	l.BackOff(-time.Second, now)
 	if !l.TakesWork(now) {
-		t.Fatal("it backs off without a word")
+		t.Fatal("backs off for a duration that is not positive")
 	}
 	l.BackOff(4*time.Second, now)
 	l.BackOff(time.Second, now)
-	if left := l.BackoffLeft(now); left < 4*time.Second || left > 4*time.Second+maxBackoffSpread {
-		t.Errorf("backs off for %v", left)
+	if left := l.BackoffLeft(now); left < 4*time.Second || left > 4*time.Second+maxBackoffJitter {
+		t.Errorf("backs off for %v, want 4 s to 4 s plus the jitter", left)
 	}
-	all, wanted := UsableSlots([]*Live{l}, now)
-	if l.TakesWork(now.Add(3999*time.Millisecond)) || all != 9 || wanted != 0 || l.Suspect() {
-		t.Errorf("takes work, or is suspect: %v, %v usable slots", all, wanted)
+	total, available := UsableSlots([]*Live{l}, now)
+	if l.TakesWork(now.Add(3999*time.Millisecond)) || total != 9 || available != 0 || l.Suspect() {
+		t.Errorf("accepts requests during the back-off, is suspect, or has the wrong slots: %v, %v usable slots", total, available)
 	}
-	if !l.TakesWork(now.Add(4*time.Second + maxBackoffSpread)) {
-		t.Error("backs off for longer")
+	if !l.TakesWork(now.Add(4*time.Second + maxBackoffJitter)) {
+		t.Error("the back-off lasts longer than 4 s plus the jitter")
 	}
 	l.BackOff(1000*time.Hour, now)
 	if l.TakesWork(now.Add(999 * time.Hour)) {
-		t.Error("a long time ends early")
+		t.Error("a back-off of 1000 h ends early")
 	}
 }
--- a/pkg/target/limit.go
+++ b/pkg/target/limit.go
@@ -2,63 +2,64 @@
 
 import "time"
 
-// maxReportAge is how old an observed limit may be that is reported to the other VMs: several
+// maxReportAge is the age up to which an observed limit is reported to the other VMs. It is several
 // times the longest time between two heartbeats.
 const maxReportAge = 10 * time.Second
 
-// Limit is how many requests a target takes from all VMs together, by its own answers.
+// Limit is the request rate that a target accepts from all VMs together, according to its responses.
 type Limit struct {
-	// Rate is in requests a second. It means nothing unless Named.
-	Rate  float64
+	// Rate is in requests per second. It is meaningless unless the target has set a limit.
+	Rate float64
+	// Named reports whether the target has set a limit.
 	Named bool
 }
 
 // Report is a target's limit as another VM observed it.
 type Report struct {
 	Limit
-	// Earliest and Latest bound when the VM did.
+	// Earliest and Latest bound the time of the observation.
 	Earliest, Latest time.Time
 }
 
-// limitState is a target's limit as this VM knows it.
+// limitState is a target's limit as far as this VM knows.
 type limitState struct {
 	Limit
-	at int64 // instant at which the target had this limit
-	// observed says that an answer to this VM told it, and changed at which instant an answer
-	// first did.
-	observed bool
-	changed  int64
+	observedAt int64 // instant at which the target had this limit
+	// ownObservation is true if the limit comes from a response to this VM rather than from another VM's
+	// report. unchangedSince is the instant of the first such response with this limit.
+	ownObservation bool
+	unchangedSince int64
 }
 
-// LimitNamed takes in that the target named a limit at now. It reports whether that changed
-// the limit.
-func (l *Live) LimitNamed(rate float64, now time.Time) bool {
-	return l.observeLimit(Limit{Rate: rate, Named: true}, now, now)
+// LimitNamed records a response that set a limit at observedAt. It reports whether the limit changed.
+func (l *Live) LimitNamed(rate float64, observedAt time.Time) bool {
+	return l.updateLimit(Limit{Rate: rate, Named: true}, observedAt, observedAt)
 }
 
-// LimitUnnamed takes in an answer without a limit to a request that was sent at sent. It
-// reports whether that ended a limit: one that the target named later than sent goes on.
-func (l *Live) LimitUnnamed(sent, now time.Time) bool {
-	if b := l.limit.Load(); b == nil || !b.Named {
+// LimitUnnamed records a response without a limit to a request that was sent at sentAt. It reports
+// whether that ended a limit. A limit that the target set later than sentAt stays in force.
+func (l *Live) LimitUnnamed(sentAt, now time.Time) bool {
+	if state := l.limit.Load(); state == nil || !state.Named {
 		return false
 	}
-	return l.observeLimit(Limit{}, sent, now)
+	return l.updateLimit(Limit{}, sentAt, now)
 }
 
-// LimitUnclear notes an answer that names a limit which can't be read. It reports whether that
-// is the first one.
-func (l *Live) LimitUnclear() bool { return !l.unclear.Swap(true) }
+// LimitUnclear records a response whose limit cannot be parsed. It reports whether that is the first
+// one.
+func (l *Live) LimitUnclear() bool { return !l.unreadableLimit.Swap(true) }
 
-// observeLimit takes in what an answer tells, which was true at some moment since at.
-func (l *Live) observeLimit(limit Limit, at, now time.Time) (changed bool) {
+// updateLimit records the limit of a response. The target had this limit at some moment between at
+// and now.
+func (l *Live) updateLimit(limit Limit, at, now time.Time) (changed bool) {
 	for {
 		old := l.limit.Load()
-		next := &limitState{Limit: limit, at: instant(at), observed: true, changed: instant(now)}
+		next := &limitState{Limit: limit, observedAt: instant(at), ownObservation: true, unchangedSince: instant(now)}
 		switch {
-		case old == nil && !limit.Named, old != nil && old.at > instant(at):
+		case old == nil && !limit.Named, old != nil && old.observedAt > instant(at):
 			return false
-		case old != nil && old.observed && old.Limit == limit:
-			next.changed = old.changed
+		case old != nil && old.ownObservation && old.Limit == limit:
+			next.unchangedSince = old.unchangedSince
 		}
 		if l.limit.CompareAndSwap(old, next) {
 			return old == nil || old.Limit != limit
@@ -66,8 +67,8 @@
 	}
 }
 
-// LimitReported takes in what another VM observed. It returns whether that changed the limit.
-// Where it is not certain which observation is newer, the target counts as limited.
+// LimitReported records a limit that another VM observed. It reports whether the limit changed. If it
+// is uncertain which observation is newer, the target counts as limited.
 func (l *Live) LimitReported(r Report) bool {
 	at := instant(r.Earliest)
 	if r.Named {
@@ -75,44 +76,44 @@
 	}
 	for {
 		old := l.limit.Load()
-		if old == nil && !r.Named || old != nil && old.at >= at {
+		if old == nil && !r.Named || old != nil && old.observedAt >= at {
 			return false
 		}
-		if l.limit.CompareAndSwap(old, &limitState{Limit: r.Limit, at: at}) {
+		if l.limit.CompareAndSwap(old, &limitState{Limit: r.Limit, observedAt: at}) {
 			return old == nil || old.Limit != r.Limit
 		}
 	}
 }
 
-// Limit returns the limit in force. It does not age: a target without traffic says nothing, and
-// is not to get all of it at once later.
+// Limit returns the limit in force. It does not expire: a target without traffic sends no responses
+// that could renew its limit, and must not get the full traffic at once later.
 func (l *Live) Limit() Limit {
-	if b := l.limit.Load(); b != nil {
-		return b.Limit
+	if state := l.limit.Load(); state != nil {
+		return state.Limit
 	}
 	return Limit{}
 }
 
-// LimitObserved returns the limit that the target's answers told this VM, for how long they have
-// and how old the last one is; ok is false where there is none to report.
-func (l *Live) LimitObserved(now time.Time) (limit Limit, lasts, age time.Duration, ok bool) {
-	b := l.limit.Load()
-	if b == nil || !b.observed || instant(now)-b.at > int64(maxReportAge) {
+// LimitObserved returns the limit that this VM observed in the target's responses, for how long it has
+// been the same, and the age of the last observation; ok is false if there is none to report.
+func (l *Live) LimitObserved(now time.Time) (limit Limit, unchangedFor, age time.Duration, ok bool) {
+	state := l.limit.Load()
+	if state == nil || !state.ownObservation || instant(now)-state.observedAt > int64(maxReportAge) {
 		return Limit{}, 0, 0, false
 	}
-	return b.Limit, time.Duration(instant(now) - b.changed), time.Duration(instant(now) - b.at), true
+	return state.Limit, time.Duration(instant(now) - state.unchangedSince), time.Duration(instant(now) - state.observedAt), true
 }
 
-// minUsableSlots keeps a target that names a limit of 0 in its region's capacity: it is asked now
-// and then, and a region of such targets is better than none.
+// minUsableSlots keeps a target with a limit of 0 in its region's capacity: it still gets a request
+// now and then, and a region of such targets is better than none.
 const minUsableSlots = 0.01
 
-// usableSlots is how many slots the requests keep that the target takes: by Little's law, those
-// of its limit where it names one.
+// usableSlots returns the number of slots that the target can fill. If the target has set a limit, that
+// is by Little's law the limit times the mean service time.
 func (l *Live) usableSlots() float64 {
 	slots := float64(l.Slots)
-	if named := l.Limit(); named.Named && l.Service() > 0 {
-		return min(slots, max(minUsableSlots, named.Rate*l.Service().Seconds()))
+	if limit := l.Limit(); limit.Named && l.Service() > 0 {
+		return min(slots, max(minUsableSlots, limit.Rate*l.Service().Seconds()))
 	}
 	return slots
 }
--- a/pkg/target/live.go
+++ b/pkg/target/live.go
@@ -9,107 +9,109 @@
 )
 
 const (
-	// loadMemory is how long a reported load is believed. Requests take tenths
-	// of a second, so an older report says little.
-	loadMemory = 700 * time.Millisecond
+	// loadReportTTL is how long a reported load is used. Requests take tenths of a
+	// second, so an older report says little about the present load.
+	loadReportTTL = 700 * time.Millisecond
 )
 
-// Live is one incarnation of a target with what this VM knows of it. Its fields
-// are immutable but for the counters, which are safe for concurrent use.
+// Live is one incarnation of a target, with its live state as this VM sees it.
+// It is safe for concurrent use: all fields are immutable except the atomic ones.
 type Live struct {
 	Target
 	Pool string
+	// Born is the Unix millisecond of the process's start; 0 is unknown.
 	Born int64
 	// Hash is a hash of the ID, for rendezvous hashing.
 	Hash uint64
 
-	since        int64 // instant from which on no other process of this VM sends
-	running      atomic.Int32
-	others       atomic.Int32 // requests of other VMs, as of the last report
-	reportAt     atomic.Int64 // instant of the report, 0 for none
-	service      atomic.Int64 // mean service time in nanoseconds
-	coldUntil    atomic.Int64 // instant, 0 for none
-	suspect      atomic.Bool
-	replaced     atomic.Bool
-	ended        atomic.Bool
-	leaving      atomic.Bool
-	backoffUntil atomic.Int64 // instant, 0 for none
-	nextCold     atomic.Int64 // instant from which the next cold request may go, 0 for none
-	failures     atomic.Int32
-	answered     atomic.Int64 // instant of the last answer, 0 for none
-	// unfinished counts the long answers in a row that did not end as they should.
-	unfinished atomic.Int32
-	runs       atomic.Uint64 // bits of the part of the requests that it runs
-	lost       atomic.Pointer[loss]
-	limit      atomic.Pointer[limitState] // nil before a limit was named
-	// unclear says that an answer named a limit that is none.
-	unclear atomic.Bool
+	processStart        int64 // instant from which no earlier process of this VM sends requests
+	running             atomic.Int32
+	peerLoad            atomic.Int32 // requests of other VMs, as of the last reported load
+	loadReportedAt      atomic.Int64 // instant of the last reported load, 0 for none
+	serviceTime         atomic.Int64 // mean service time in nanoseconds
+	coldUntil           atomic.Int64 // instant, 0 for none
+	suspect             atomic.Bool
+	replaced            atomic.Bool
+	exited              atomic.Bool
+	leaving             atomic.Bool
+	backoffUntil        atomic.Int64 // instant, 0 for none
+	nextCold            atomic.Int64 // instant from which this VM may send the next request to the cold target, 0 for none
+	consecutiveFailures atomic.Int32
+	lastResponse        atomic.Int64 // instant of the last response, 0 for none
+	// incompleteStreams counts the consecutive streamed responses that did not complete.
+	incompleteStreams atomic.Int32
+	acceptRatio       atomic.Uint64 // math.Float64bits of the fraction of the requests that the target runs
+	unreachable       atomic.Pointer[unreachableSignal]
+	limit             atomic.Pointer[limitState] // nil before the first limit
+	// unreadableLimit is true once a response had a limit that could not be parsed.
+	unreadableLimit atomic.Bool
 }
 
-// loss ends when the target is found to be out of reach.
-type loss struct {
-	ctx context.Context
-	end context.CancelFunc
+// unreachableSignal holds a context that is cancelled when the target is found to be unreachable.
+type unreachableSignal struct {
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
-// epoch is where instants are counted from.
+// epoch is the zero point of instants.
 var epoch = time.Now()
 
-// instant counts nanoseconds on the steady clock: the time of day may jump, and
-// a cold target would count as warm too early.
+// instant returns the nanoseconds from epoch to t on the monotonic clock. The wall
+// clock may jump ahead, and a cold target would count as warm too early.
 func instant(t time.Time) int64 { return int64(t.Sub(epoch)) }
 
-// Begin counts a request that is sent to the target, End one that ended there.
+// Begin counts a request that is sent to the target.
 func (l *Live) Begin() { l.running.Add(1) }
 
-// End counts a request that ended.
+// End counts a request to the target as ended.
 func (l *Live) End() { l.running.Add(-1) }
 
-// Running is how many requests of this VM the target has.
+// Running returns the number of requests that this VM has in flight to the target.
 func (l *Live) Running() int { return int(l.running.Load()) }
 
-// Reported takes in the load that an answer told, while the request that was
-// answered still counts as running.
+// Reported records the load that a response reported. The request of that response
+// must still count as running.
 func (l *Live) Reported(load int, now time.Time) {
 	others := max(0, min(load, math.MaxInt32)-max(0, l.Running()-1))
-	l.others.Store(int32(others))
-	l.reportAt.Store(instant(now))
+	l.peerLoad.Store(int32(others))
+	l.loadReportedAt.Store(instant(now))
 }
 
-// Load is the number of requests that run or wait there: this VM's own, and
-// those of other VMs as of the last report.
+// Load returns the number of requests that run or wait at the target: those of this
+// VM, and those of other VMs as of the last report if it is recent.
 func (l *Live) Load(now time.Time) int {
 	own := l.Running()
-	if at := l.reportAt.Load(); at != 0 && instant(now)-at < int64(loadMemory) {
-		return own + int(l.others.Load())
+	if at := l.loadReportedAt.Load(); at != 0 && instant(now)-at < int64(loadReportTTL) {
+		return own + int(l.peerLoad.Load())
 	}
 	return own
 }
 
-// serviceWeight is the weight of one request in a target's mean service time.
-const serviceWeight = 0.05
+// serviceTimeWeight is the weight of one request in the moving average of a target's
+// service time.
+const serviceTimeWeight = 0.05
 
-// Served notes how long a request took, with the load that it met there. It returns how
-// long the request kept a slot, as far as that can be told.
-func (l *Live) Served(took time.Duration, load int) time.Duration {
+// Served records how long a request took and the load that it met at the target. It returns
+// an estimate of how long the request occupied a slot, without its wait for one.
+func (l *Live) Served(duration time.Duration, load int) time.Duration {
 	queued := max(0, load+1-l.Slots)
-	service := float64(took) / (1 + float64(queued)/float64(l.Slots))
+	service := float64(duration) / (1 + float64(queued)/float64(l.Slots))
 	for {
-		old := l.service.Load()
+		old := l.serviceTime.Load()
 		mean := service
 		if old != 0 {
-			mean = float64(old) + serviceWeight*(service-float64(old))
+			mean = float64(old) + serviceTimeWeight*(service-float64(old))
 		}
-		if l.service.CompareAndSwap(old, int64(mean)) {
+		if l.serviceTime.CompareAndSwap(old, int64(mean)) {
 			return time.Duration(service)
 		}
 	}
 }
 
-// Service is the mean time that a request keeps a slot; 0 is unknown.
-func (l *Live) Service() time.Duration { return time.Duration(l.service.Load()) }
+// Service returns the mean time for which a request occupies a slot; 0 is unknown.
+func (l *Live) Service() time.Duration { return time.Duration(l.serviceTime.Load()) }
 
-// Cold reports whether the target may not take its usual rate yet.
+// Cold reports whether the target may not get its usual request rate yet.
 func (l *Live) Cold(now time.Time) bool {
 	until := l.coldUntil.Load()
 	return until != 0 && instant(now) < until
@@ -126,132 +128,137 @@
 	}
 }
 
-// Suspect reports whether the target failed and has not shown since that it
-// is well.
+// Suspect reports whether the target has failed and has not passed a health check
+// since.
 func (l *Live) Suspect() bool { return l.suspect.Load() }
 
-// Replaced reports whether another incarnation answers at the address.
+// Replaced reports whether another incarnation responds at the address.
 func (l *Live) Replaced() bool { return l.replaced.Load() }
 
 // Sound reports whether the target is neither suspect nor replaced.
 func (l *Live) Sound() bool { return !l.Suspect() && !l.Replaced() }
 
-// Incarnation names this incarnation of the target.
+// Incarnation returns a name for this incarnation of the target, made of its ID and
+// start time.
 func (l *Live) Incarnation() string { return l.ID + "@" + strconv.FormatInt(l.Born, 36) }
 
-// SetEnded notes that the target's process has ended, which makes it suspect. It reports whether
-// that was not known.
+// SetEnded records that the target's process has exited, which makes the target suspect. It reports
+// whether that was unknown before.
 func (l *Live) SetEnded() bool {
-	first := !l.ended.Swap(true)
+	first := !l.exited.Swap(true)
 	l.Failed(true)
 	return first
 }
 
-// Ended reports whether the target's process is known to have ended.
-func (l *Live) Ended() bool { return l.ended.Load() }
+// Ended reports whether the target's process is known to have exited.
+func (l *Live) Ended() bool { return l.exited.Load() }
 
-// SetReplaced takes the target out of use.
+// SetReplaced records that another incarnation responds at the address, which ends the
+// use of this one.
 func (l *Live) SetReplaced() { l.replaced.Store(true) }
 
-// Failed notes a request that the target did not answer. It reports whether
-// the target became suspect by it.
+// Failed records a request that got no response. It reports whether the target
+// became suspect because of it, which a single failure causes only if unreachable is
+// true.
 func (l *Live) Failed(unreachable bool) bool {
-	if n := l.failures.Add(1); !unreachable && n < failuresToSuspect {
+	if n := l.consecutiveFailures.Add(1); !unreachable && n < failuresToSuspect {
 		return false
 	}
 	if unreachable {
-		if x := l.lost.Swap(nil); x != nil {
-			x.end()
+		if signal := l.unreachable.Swap(nil); signal != nil {
+			signal.cancel()
 		}
 	}
 	return !l.suspect.Swap(true)
 }
 
-// Lost returns a context that ends when the target is found to be out of reach, so that
-// those who wait for its answer need not wait in vain.
+// Lost returns a context that is cancelled when the target is found to be unreachable, so
+// that requests waiting for a response can give up.
 func (l *Live) Lost() context.Context {
-	if x := l.lost.Load(); x != nil {
-		return x.ctx
+	if signal := l.unreachable.Load(); signal != nil {
+		return signal.ctx
 	}
-	x := &loss{}
-	x.ctx, x.end = context.WithCancel(context.Background())
-	if l.lost.CompareAndSwap(nil, x) {
-		return x.ctx
+	signal := &unreachableSignal{}
+	signal.ctx, signal.cancel = context.WithCancel(context.Background())
+	if l.unreachable.CompareAndSwap(nil, signal) {
+		return signal.ctx
 	}
-	x.end()
+	signal.cancel()
 	return l.Lost()
 }
 
-// Unfinished notes a long answer that broke off or did not end. It reports whether the target
-// became suspect by it. A target whose health check is good is suspect again with the next one,
-// as long as no long answer has ended well.
+// Unfinished records a streamed response that broke off or did not end. It reports whether the target
+// became suspect because of it. A target that passes its health check afterwards becomes suspect again
+// with the next such response, until a streamed response completes.
 func (l *Live) Unfinished() bool {
-	if l.unfinished.Add(1) < failuresToSuspect {
+	if l.incompleteStreams.Add(1) < failuresToSuspect {
 		return false
 	}
-	l.unfinished.Store(failuresToSuspect - 1)
+	l.incompleteStreams.Store(failuresToSuspect - 1)
 	return !l.suspect.Swap(true)
 }
 
-// Finished notes a long answer that ended as it should.
-func (l *Live) Finished() { l.unfinished.Store(0) }
+// Finished records a streamed response that completed.
+func (l *Live) Finished() { l.incompleteStreams.Store(0) }
 
-// failuresToSuspect is the number of lost answers in a row that make a target
-// suspect: single answers are lost on sound targets too.
+// failuresToSuspect is the number of consecutive requests without a response that
+// make a target suspect. Healthy targets lose single responses too.
 const failuresToSuspect = 3
 
-// AnsweredSince reports whether the target has answered any request since t.
+// AnsweredSince reports whether the target has responded to any request since t.
 func (l *Live) AnsweredSince(t time.Time) bool {
-	at := l.answered.Load()
+	at := l.lastResponse.Load()
 	return at != 0 && at >= instant(t)
 }
 
-// Answered notes that the target answered at now, and whether it ran the request.
+// Answered records a response at now, and whether the target ran the request.
 func (l *Live) Answered(ran bool, now time.Time) {
-	l.failures.Store(0)
-	l.answered.Store(instant(now))
+	l.consecutiveFailures.Store(0)
+	l.lastResponse.Store(instant(now))
 	sample := 0.0
 	if ran {
 		sample = 1
 	}
 	for {
-		old := l.runs.Load()
-		mean := math.Float64frombits(old)
-		if l.runs.CompareAndSwap(old, math.Float64bits(mean+runsWeight*(sample-mean))) {
+		old := l.acceptRatio.Load()
+		ratio := math.Float64frombits(old)
+		if l.acceptRatio.CompareAndSwap(old, math.Float64bits(ratio+acceptWeight*(sample-ratio))) {
 			return
 		}
 	}
 }
 
 const (
-	// runsWeight is the weight of one answer in the part of the requests that a target
-	// runs.
-	runsWeight = 0.1
-	// minRuns is the part from which a target that refused a request is asked again.
-	minRuns = 0.25
+	// acceptWeight is the weight of one response in the moving average of the fraction of
+	// requests that a target runs.
+	acceptWeight = 0.1
+	// minAcceptRatio is the fraction from which a target that refused a request may get it
+	// again.
+	minAcceptRatio = 0.25
 )
 
-// MayRun reports whether a target that has refused a request may run it if it is asked
-// again. One that is not known to run any does not count.
-func (l *Live) MayRun() bool { return math.Float64frombits(l.runs.Load()) >= minRuns }
+// MayRun reports whether a target that has refused a request is likely enough to run it
+// on a retry. It is false for a target that is not known to run any requests.
+func (l *Live) MayRun() bool { return math.Float64frombits(l.acceptRatio.Load()) >= minAcceptRatio }
 
-// Cleared ends the suspicion. The target may have restarted meanwhile, so it
-// counts as cold for the given time.
+// Cleared records a passed health check: the target is no longer suspect. It may have
+// restarted in the meantime, so it counts as cold for the given duration.
 func (l *Live) Cleared(cold time.Duration, now time.Time) {
-	l.failures.Store(0)
+	l.consecutiveFailures.Store(0)
 	l.SetCold(cold, now)
-	l.ended.Store(false)
+	l.exited.Store(false)
 	l.suspect.Store(false)
 }
 
-// TakeCold uses this VM's part of the requests that a cold target bears, or
-// reports false where it is used up. interval is the time between two of them; the
-// process before this one may have sent one just before its end.
+// TakeCold reports whether this VM may send a request to the cold target now, and counts it
+// as sent if so. interval is the time between two such requests. The first one is allowed an
+// interval after this process's start, because the previous process of the VM may have sent
+// one just before it ended.
 func (l *Live) TakeCold(interval time.Duration, now time.Time) bool {
 	at := instant(now)
 	for {
 		next := l.nextCold.Load()
-		if at < l.since+int64(interval) || (next != 0 && at < next) {
+		if at < l.processStart+int64(interval) || (next != 0 && at < next) {
 			return false
 		}
 		if l.nextCold.CompareAndSwap(next, at+int64(interval)) {
--- a/pkg/target/registry.go
+++ b/pkg/target/registry.go
@@ -13,44 +13,44 @@
 )
 
 const (
-	// removalHold is how long targets that vanished from the list are kept where
-	// the list had been unreadable. The platform promises that live targets are
-	// back about 2 s after the list's return.
+	// removalHold is how long targets that are missing from the list are kept if the
+	// list was unreadable before. The platform guarantees that live targets are listed
+	// again about 2 s after the list becomes readable.
 	removalHold = 2 * time.Second
-	// gravePeriod is how long the incarnation of a vanished entry is remembered: one
-	// that comes back unchanged has not started anew.
-	gravePeriod = 30 * time.Second
-	// massRemoval is the part of all targets whose removal at once may be a
-	// lapse of the list rather than their end.
-	massRemoval = 0.25
-	// lapsedPart is the part whose removal at once is taken for a lapse that this VM
-	// did not notice: no planned work takes so many away.
-	lapsedPart = 0.6
-	// minMassRemoval is the least number that counts as a mass.
+	// tombstoneTTL is how long the incarnation of a removed entry is remembered: an
+	// entry that returns unchanged is the same process and has not restarted.
+	tombstoneTTL = 30 * time.Second
+	// massRemovalFraction is the fraction of all targets above which a removal at once may be
+	// entries that expired in the list, rather than targets that ended.
+	massRemovalFraction = 0.25
+	// outageFraction is the fraction above which a removal at once is taken for an outage
+	// of the list that this VM did not notice: no planned work removes so many targets.
+	outageFraction = 0.6
+	// minMassRemoval is the smallest number of targets that counts as a mass removal.
 	minMassRemoval = 3
-	// heldPart is the part of a region's capacity up to which kept targets get
-	// nothing, as the others can do without them.
-	heldPart = 0.5
+	// minHeldFraction is the fraction of a region's capacity up to which held targets get no
+	// requests, because the other targets can carry the load.
+	minHeldFraction = 0.5
 )
 
-// Entry is what a target says of itself in the platform's list.
+// Entry is the description that a target publishes in the platform's list.
 type Entry struct {
 	Target
-	// Pool is the service that it belongs to.
+	// Pool is the service that the target belongs to.
 	Pool string
-	// Draining targets take no new work.
+	// Draining targets accept no new requests.
 	Draining bool
-	// Born is the Unix millisecond of its start; 0 is unknown.
+	// Born is the Unix millisecond of the target's start; 0 is unknown.
 	Born int64
-	// ColdFor is how much longer it is slow, when it wrote the entry.
+	// ColdFor is how much longer the target is slow, as of the writing of the entry.
 	ColdFor time.Duration
 }
 
-// Snapshot is an immutable picture of the targets that may be used.
+// Snapshot is an immutable view of the usable targets.
 type Snapshot struct {
 	// Pools holds the usable targets by pool and region, in order of ID.
 	Pools map[string]map[string][]*Live
-	// Version is the list's version that the picture was made from.
+	// Version is the version of the list that the snapshot was made from.
 	Version int64
 }
 
@@ -58,140 +58,141 @@
 type record struct {
 	live     *Live
 	draining bool
-	// removedAt is when the entry vanished; zero while it is there.
+	// removedAt is when the entry disappeared from the list; zero while it is listed.
 	removedAt time.Time
-	hold      time.Duration
+	// hold is how long after removedAt the entry is kept.
+	hold time.Duration
 }
 
-// grave is an incarnation whose entry vanished.
-type grave struct {
-	live *Live
-	at   time.Time
+// tombstone is the remembered incarnation of a removed entry.
+type tombstone struct {
+	live      *Live
+	removedAt time.Time
 }
 
-// Registry folds the platform's list of targets into snapshots. It has no I/O
-// and no clock.
+// Registry builds snapshots from the platform's list of targets. It does no I/O and
+// reads no clock.
 type Registry struct {
-	mu       sync.Mutex
-	regions  map[string]string // region by failure domain
-	started  time.Time
-	records  map[string]*record
-	graves   map[string]grave
-	services map[string]*config.Service
-	// evacuated holds the failure domains that get nothing.
+	mu           sync.Mutex
+	regions      map[string]string // region by failure domain
+	processStart time.Time
+	records      map[string]*record
+	tombstones   map[string]tombstone
+	services     map[string]*config.Service
+	// evacuated holds the failure domains that get no requests.
 	evacuated map[string]bool
 	version   int64
-	// returned is when the list could be read again.
-	returned time.Time
-	snapshot atomic.Pointer[Snapshot]
+	// readableSince is when the list became readable again after its last outage.
+	readableSince time.Time
+	snapshot      atomic.Pointer[Snapshot]
 }
 
-// NewRegistry returns an empty registry. regions names the region of each
-// failure domain; started is when this process did.
-func NewRegistry(regions map[string]string, started time.Time) *Registry {
-	r := &Registry{regions: regions, started: started, records: map[string]*record{}, graves: map[string]grave{}, evacuated: map[string]bool{}}
+// NewRegistry returns an empty registry. regions maps each failure domain to its
+// region; processStart is the start of this process.
+func NewRegistry(regions map[string]string, processStart time.Time) *Registry {
+	r := &Registry{regions: regions, processStart: processStart, records: map[string]*record{}, tombstones: map[string]tombstone{}, evacuated: map[string]bool{}}
 	r.snapshot.Store(&Snapshot{})
 	return r
 }
 
-// Admits reports whether requests may be sent to an incarnation at now.
+// Admits reports whether requests may be sent to the incarnation at now.
 func (s *Snapshot) Admits(l *Live, now time.Time) bool {
 	return l.TakesWork(now) && slices.Contains(s.Pools[l.Pool][l.Region], l)
 }
 
-// Snapshot returns the present picture. It is never nil.
+// Snapshot returns the latest snapshot. It is never nil.
 func (r *Registry) Snapshot() *Snapshot { return r.snapshot.Load() }
 
-// Upsert takes in an entry. first says that it was there when this VM read the
-// list for the first time: then nothing is known of when it started. It returns
-// the incarnation and whether it is new.
-func (r *Registry) Upsert(e Entry, first bool, now time.Time) (live *Live, fresh bool) {
+// Upsert adds or updates an entry. firstRead is true for entries that were listed when
+// this VM read the list for the first time; how long ago those targets started is
+// unknown. Upsert returns the incarnation and whether it is new.
+func (r *Registry) Upsert(e Entry, firstRead bool, now time.Time) (live *Live, isNew bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.records[e.ID]
-	if rec == nil || !rec.live.same(&e) {
-		rec, fresh = r.enter(e)
-		if !fresh {
+	if rec == nil || !rec.live.matches(&e) {
+		rec, isNew = r.addRecord(e)
+		if !isNew {
 			rec.live.SetCold(e.ColdFor, now)
 			rec.draining = e.Draining
 			return rec.live, false
 		}
-		if s := r.services[e.Pool]; s != nil && !first {
+		if s := r.services[e.Pool]; s != nil && !firstRead {
 			rec.live.SetCold(s.ColdStart, now)
 		}
 	}
 	rec.draining = e.Draining
 	rec.removedAt = time.Time{}
 	rec.live.SetCold(e.ColdFor, now)
-	return rec.live, fresh
+	return rec.live, isNew
 }
 
-// enter makes the record of an entry; fresh is false for an incarnation whose
-// entry had vanished.
-func (r *Registry) enter(e Entry) (rec *record, fresh bool) {
-	before := r.records[e.ID]
+// addRecord adds the record of an entry. isNew is false for an incarnation whose removed
+// entry has returned.
+func (r *Registry) addRecord(e Entry) (rec *record, isNew bool) {
+	previous := r.records[e.ID]
 	rec = &record{}
 	r.records[e.ID] = rec
-	if g, ok := r.graves[e.ID]; ok && g.live.same(&e) && e.Born != 0 {
-		delete(r.graves, e.ID)
-		rec.live = g.live
+	if t, ok := r.tombstones[e.ID]; ok && t.live.matches(&e) && e.Born != 0 {
+		delete(r.tombstones, e.ID)
+		rec.live = t.live
 		return rec, false
 	}
 	rec.live = r.newLive(e)
-	if before != nil && before.live.Born == e.Born {
-		rec.live.inherit(before.live)
+	if previous != nil && previous.live.Born == e.Born {
+		rec.live.copyAnnouncements(previous.live)
 	}
 	return rec, true
 }
 
-// bury forgets a record and remembers its incarnation.
-func (r *Registry) bury(id string, now time.Time) *Live {
+// deleteRecord deletes a record and remembers its incarnation for tombstoneTTL.
+func (r *Registry) deleteRecord(id string, now time.Time) *Live {
 	l := r.records[id].live
 	delete(r.records, id)
-	r.graves[id] = grave{l, now}
+	r.tombstones[id] = tombstone{l, now}
 	return l
 }
 
-// same reports whether the entry is of this incarnation.
-func (l *Live) same(e *Entry) bool {
+// matches reports whether the entry describes this incarnation.
+func (l *Live) matches(e *Entry) bool {
 	return l.Born == e.Born && l.Address == e.Address && l.Pool == e.Pool && l.FailureDomain == e.FailureDomain && l.Slots == e.Slots
 }
 
 func (r *Registry) newLive(e Entry) *Live {
 	t := e.Target
 	t.Region = r.regions[e.FailureDomain]
-	return &Live{Target: t, Pool: e.Pool, Born: e.Born, Hash: xxhash.Sum64String(e.ID), since: instant(r.started)}
+	return &Live{Target: t, Pool: e.Pool, Born: e.Born, Hash: xxhash.Sum64String(e.ID), processStart: instant(r.processStart)}
 }
 
-// Removal is what became of entries that vanished from the list.
+// Removal tells what happened to targets whose entries disappeared from the list.
 type Removal struct {
-	// Gone targets are used no more.
+	// Gone targets are no longer used.
 	Gone []*Live
-	// Held targets are used for a while, since the list may have lapsed.
+	// Held targets are kept for a while, because their entries may only have expired.
 	Held []*Live
-	// Until is when those that are held are gone too.
+	// Until is when the held targets are removed too.
 	Until time.Time
 }
 
-// Remove takes in that entries vanished. returned says that the list could not
-// be read just before; drain is how long a target serves on after it left the
-// list.
-func (r *Registry) Remove(ids []string, returned bool, drain time.Duration, now time.Time) Removal {
+// Remove handles entries that disappeared from the list. afterOutage is true if the list
+// was unreadable just before; drainTime is how long a target goes on serving after it has
+// left the list.
+func (r *Registry) Remove(ids []string, afterOutage bool, drainTime time.Duration, now time.Time) Removal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if returned {
-		r.returned = now
+	if afterOutage {
+		r.readableSince = now
 	}
 	hold := time.Duration(0)
 	switch {
-	case now.Sub(r.returned) < removalHold && !r.returned.IsZero():
-		hold = r.returned.Add(removalHold).Sub(now)
-	case len(ids) >= minMassRemoval && float64(len(ids)) > lapsedPart*float64(len(r.records)):
+	case now.Sub(r.readableSince) < removalHold && !r.readableSince.IsZero():
+		hold = r.readableSince.Add(removalHold).Sub(now)
+	case len(ids) >= minMassRemoval && float64(len(ids)) > outageFraction*float64(len(r.records)):
 		hold = removalHold
-	case len(ids) >= minMassRemoval && float64(len(ids)) > massRemoval*float64(len(r.records)):
-		// A lapse ends sooner than the time in which a target that has left
-		// must get nothing.
-		hold = drain / 2
+	case len(ids) >= minMassRemoval && float64(len(ids)) > massRemovalFraction*float64(len(r.records)):
+		// Entries that only expired are listed again before the time by which a
+		// target that has left must get no more requests.
+		hold = drainTime / 2
 	}
 	out := Removal{Until: now.Add(hold)}
 	for _, id := range ids {
@@ -200,7 +201,7 @@
 			continue
 		}
 		if hold <= 0 || rec.draining {
-			out.Gone = append(out.Gone, r.bury(id, now))
+			out.Gone = append(out.Gone, r.deleteRecord(id, now))
 			continue
 		}
 		rec.removedAt, rec.hold = now, hold
@@ -209,33 +210,33 @@
 	return out
 }
 
-// Expire drops the entries whose hold has ended and returns them.
+// Expire removes the entries whose hold has ended and returns their targets.
 func (r *Registry) Expire(now time.Time) []*Live {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var gone []*Live
 	for id, rec := range r.records {
 		if !rec.removedAt.IsZero() && now.Sub(rec.removedAt) >= rec.hold {
-			gone = append(gone, r.bury(id, now))
+			gone = append(gone, r.deleteRecord(id, now))
 		}
 	}
-	for id, g := range r.graves {
-		if now.Sub(g.at) > gravePeriod {
-			delete(r.graves, id)
+	for id, t := range r.tombstones {
+		if now.Sub(t.removedAt) > tombstoneTTL {
+			delete(r.tombstones, id)
 		}
 	}
 	return gone
 }
 
-// SetServices takes in the configuration's services.
+// SetServices sets the services of the configuration.
 func (r *Registry) SetServices(s map[string]*config.Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.services = s
 }
 
-// Evacuate sets whether a failure domain gets nothing. Its targets may be cold
-// when it is taken back.
+// Evacuate sets whether a failure domain gets no requests. Its targets count as cold
+// when it returns to use, because they may be.
 func (r *Registry) Evacuate(domain string, on bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -257,19 +258,19 @@
 	}
 }
 
-// Publish makes a new snapshot of what was taken in, as of a version of the list.
+// Publish makes a new snapshot of the present state, as of a version of the list.
 func (r *Registry) Publish(version int64) *Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version = max(r.version, version)
 	s := &Snapshot{Pools: map[string]map[string][]*Live{}, Version: r.version}
-	lapsed := r.lapsed()
+	heldInUse := r.heldInUse()
 	for _, rec := range r.records {
 		l := rec.live
 		if rec.draining || l.Region == "" || r.evacuated[l.FailureDomain] {
 			continue
 		}
-		if !rec.removedAt.IsZero() && !lapsed[poolRegion{l.Pool, l.Region}] {
+		if !rec.removedAt.IsZero() && !heldInUse[poolRegion{l.Pool, l.Region}] {
 			continue
 		}
 		regions := s.Pools[l.Pool]
@@ -290,37 +291,37 @@
 
 type poolRegion struct{ pool, region string }
 
-// lapsed tells where so many targets vanished together that the rest cannot do
-// without them.
-func (r *Registry) lapsed() map[poolRegion]bool {
-	held, all := map[poolRegion]int{}, map[poolRegion]int{}
+// heldInUse returns the pools and regions in which held targets are more than minHeldFraction of
+// the capacity, so that the others cannot carry the load without them.
+func (r *Registry) heldInUse() map[poolRegion]bool {
+	held, total := map[poolRegion]int{}, map[poolRegion]int{}
 	for _, rec := range r.records {
 		at := poolRegion{rec.live.Pool, rec.live.Region}
-		all[at] += rec.live.Slots
+		total[at] += rec.live.Slots
 		if !rec.removedAt.IsZero() {
 			held[at] += rec.live.Slots
 		}
 	}
-	out := map[poolRegion]bool{}
+	inUse := map[poolRegion]bool{}
 	for at, slots := range held {
-		out[at] = float64(slots) > heldPart*float64(all[at])
+		inUse[at] = float64(slots) > minHeldFraction*float64(total[at])
 	}
-	return out
+	return inUse
 }
 
-// UsableSlots is the capacity of the targets that are neither suspect nor leave: all of it, and what
-// they take of it at now.
-func UsableSlots(list []*Live, now time.Time) (all, wanted float64) {
+// UsableSlots returns the capacity, in slots, of the targets that are healthy and not leaving: all of
+// it, and the part that they accept requests for at now, given their back-offs and limits.
+func UsableSlots(list []*Live, now time.Time) (total, available float64) {
 	for _, l := range list {
 		if !l.Sound() || l.Leaving() {
 			continue
 		}
-		all += float64(l.Slots)
+		total += float64(l.Slots)
 		if l.BackoffLeft(now) == 0 {
-			wanted += l.usableSlots()
+			available += l.usableSlots()
 		}
 	}
-	return all, wanted
+	return total, available
 }
 
 // All returns the listed targets.
@@ -334,7 +335,8 @@
 	return out
 }
 
-// Find returns a listed incarnation of a target, or nil.
+// Find returns the incarnation of a target that was born at the given time, or nil if it is not
+// listed.
 func (r *Registry) Find(id string, born int64) *Live {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -344,8 +346,7 @@
 	return nil
 }
 
-// Suspects returns the listed targets that are suspect and may be asked at now whether they are
-// well.
+// Suspects returns the listed targets that are suspect and whose health may be checked at now.
 func (r *Registry) Suspects(now time.Time) []*Live {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/target/target.go
+++ b/pkg/target/target.go
@@ -1,16 +1,17 @@
-// Package target describes the back ends that requests are sent to.
+// Package target describes the targets, the processes that run requests, and
+// tracks what this VM knows about their state.
 package target
 
-// Target is one back-end process that runs requests.
+// Target is one process that runs requests.
 type Target struct {
 	ID string
 	// Address is the host:port of its HTTP listener.
 	Address       string
 	Region        string
 	FailureDomain string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs at once.
 	Slots int
-	// Connections is how many connections it accepts from all VMs together.
+	// Connections is the number of connections that it accepts from all VMs together.
 	Connections int
 }
 
@@ -18,7 +19,7 @@
 type Pool struct {
 	Name    string
 	Targets []Target
-	// RequireEcho demands that every answer carries the request id; without
-	// it an answer is checked only where it carries one.
+	// RequireEcho requires the request ID on every response. If it is false, the
+	// ID is checked only on responses that have one.
 	RequireEcho bool
 }
