--- a/pkg/queue/class.go
+++ b/pkg/queue/class.go
@@ -2,32 +2,35 @@
 
 import "container/list"
 
-// class is the weighted deficit round robin of one priority class.
+// class schedules the entries of one priority class by weighted deficit round robin
+// over client accounts.
 type class[V any] struct {
 	accounts map[string]*account[V]
-	// turns holds the accounts that have entries; its front is served next.
-	turns  list.List
-	length int
+	// rotation holds the accounts that have entries; the front one is served next.
+	rotation list.List
+	length   int
+	// credit is the cost that the class has earned through its minimum share. Serving
+	// an entry by credit spends it.
 	credit float64
 }
 
-// account holds the entries of one client account, the oldest in front.
+// account holds the entries of one client account, oldest first.
 type account[V any] struct {
 	name   string
 	weight int
-	// deficit is what the account may still take in its turn, in cost;
-	// credited is set once the turn has added its weight.
-	deficit  float64
-	credited bool
-	entries  list.List
-	turn     *list.Element
+	// deficit is the cost that the account may still use in the current round;
+	// weightAdded is true once the round has added the account's weight to it.
+	deficit         float64
+	weightAdded     bool
+	entries         list.List
+	rotationElement *list.Element
 }
 
 func (c *class[V]) push(e *Entry[V]) {
 	a := c.accounts[e.Account]
 	if a == nil {
 		a = &account[V]{name: e.Account}
-		a.turn = c.turns.PushBack(a)
+		a.rotationElement = c.rotation.PushBack(a)
 		c.accounts[e.Account] = a
 	}
 	a.weight = max(e.Weight, 1)
@@ -36,34 +39,34 @@
 	c.length++
 }
 
-// front returns the entry that pop takes out. The class must not be empty.
+// front returns the entry that pop would remove. The class must not be empty.
 func (c *class[V]) front() *Entry[V] {
-	return c.turn().entries.Front().Value.(*Entry[V])
+	return c.nextAccount().entries.Front().Value.(*Entry[V])
 }
 
-// turn returns the account to serve. An account in front that cannot pay for
-// its oldest entry gets its weight and, if that does not suffice, goes to the
-// back, until one can.
-func (c *class[V]) turn() *account[V] {
+// nextAccount returns the account to serve next: the first one whose deficit covers the
+// cost of its oldest entry. An account whose deficit is too small gets its weight
+// added once; if that is not enough, it moves to the back of the rotation.
+func (c *class[V]) nextAccount() *account[V] {
 	for {
-		a := c.turns.Front().Value.(*account[V])
+		a := c.rotation.Front().Value.(*account[V])
 		cost := a.entries.Front().Value.(*Entry[V]).cost()
 		if a.deficit >= cost {
 			return a
 		}
-		if !a.credited {
-			a.credited = true
+		if !a.weightAdded {
+			a.weightAdded = true
 			a.deficit += float64(a.weight)
 			continue
 		}
-		a.credited = false
-		c.turns.MoveToBack(a.turn)
+		a.weightAdded = false
+		c.rotation.MoveToBack(a.rotationElement)
 	}
 }
 
-// pop takes out the entry whose turn it is.
+// pop removes and returns the next entry to serve. The class must not be empty.
 func (c *class[V]) pop() *Entry[V] {
-	a := c.turn()
+	a := c.nextAccount()
 	e := a.entries.Front().Value.(*Entry[V])
 	a.deficit -= e.cost()
 	c.remove(e)
@@ -76,39 +79,40 @@
 	e.element, e.owner = nil, nil
 	c.length--
 	if a.entries.Len() == 0 {
-		c.turns.Remove(a.turn)
-		a.turn = nil
+		c.rotation.Remove(a.rotationElement)
+		a.rotationElement = nil
 		delete(c.accounts, a.name)
 	}
 }
 
-// longest returns the newest entry of the account with the most entries for
-// its weight, counting the arriving one; nil where the arriving one is of
-// that account.
-func (c *class[V]) longest(arriving *Entry[V]) *Entry[V] {
-	most := 1 / float64(max(arriving.Weight, 1))
+// newestOfLongest returns the newest entry of the account with the most entries relative
+// to its weight, counting the arriving entry. It returns nil if that is the
+// arriving entry's own account.
+func (c *class[V]) newestOfLongest(arriving *Entry[V]) *Entry[V] {
+	longest := 1 / float64(max(arriving.Weight, 1))
 	if own := c.accounts[arriving.Account]; own != nil {
-		most = float64(own.entries.Len()+1) / float64(max(arriving.Weight, 1))
+		longest = float64(own.entries.Len()+1) / float64(max(arriving.Weight, 1))
 	}
 	var victim *Entry[V]
-	// The order of turns makes the choice among equals reproducible.
-	for t := c.turns.Front(); t != nil; t = t.Next() {
+	// Iterating in the order of the list makes the choice between equal accounts
+	// deterministic.
+	for t := c.rotation.Front(); t != nil; t = t.Next() {
 		a := t.Value.(*account[V])
 		if a.name == arriving.Account {
 			continue
 		}
-		if load := float64(a.entries.Len()) / float64(a.weight); load > most {
-			most = load
+		if load := float64(a.entries.Len()) / float64(a.weight); load > longest {
+			longest = load
 			victim = a.entries.Back().Value.(*Entry[V])
 		}
 	}
 	return victim
 }
 
-// appendEntries appends the entries to dst, one of each account in turn.
+// appendEntries appends the entries to dst, taking one of each account per round.
 func (c *class[V]) appendEntries(dst []*Entry[V]) []*Entry[V] {
-	cursors := make([]*list.Element, 0, c.turns.Len())
-	for t := c.turns.Front(); t != nil; t = t.Next() {
+	cursors := make([]*list.Element, 0, c.rotation.Len())
+	for t := c.rotation.Front(); t != nil; t = t.Next() {
 		cursors = append(cursors, t.Value.(*account[V]).entries.Front())
 	}
 	for len(cursors) > 0 {
--- a/pkg/queue/queue.go
+++ b/pkg/queue/queue.go
@@ -1,6 +1,6 @@
-// Package queue orders requests that wait for a permit: by priority class,
-// inside a class by weighted deficit round robin over client accounts. It is a
-// pure state machine; its owner supplies the time and the locking.
+// Package queue orders requests that wait for a permit: by priority class, and
+// within a class by weighted deficit round robin over client accounts. It is a
+// pure state machine; the caller supplies the time and the locking.
 package queue
 
 import (
@@ -10,7 +10,7 @@
 	"crocusramp.dev/crocusramp/pkg/config"
 )
 
-// Class is the rank of a priority; lower ones are served first.
+// Class is a priority class; lower values are served first.
 type Class uint8
 
 // The classes in the order in which they are served.
@@ -21,7 +21,7 @@
 	classes
 )
 
-// ClassOf returns the class of a priority; unknown ones are Normal.
+// ClassOf returns the class of a priority. Unknown priorities are Normal.
 func ClassOf(p config.Priority) Class {
 	switch p {
 	case config.PriorityHigh:
@@ -36,11 +36,11 @@
 // Entry is a waiting request.
 type Entry[V any] struct {
 	Account string
-	// Weight is the account's part under contention; less than 1 counts as 1.
+	// Weight is the account's relative share under contention; less than 1 counts as 1.
 	Weight int
 	Class  Class
-	// Cost is how much of the capacity its service takes, 1 being usual; 0
-	// counts as 1.
+	// Cost is the capacity that the request takes, relative to a usual request;
+	// 0 counts as 1.
 	Cost float64
 	// Expires is when the entry stops waiting.
 	Expires clock.Time
@@ -57,19 +57,19 @@
 	return e.Cost
 }
 
-// Queued reports whether the entry still waits.
+// Queued reports whether the entry is in a queue.
 func (e *Entry[V]) Queued() bool { return e.element != nil }
 
 // Config bounds a queue.
 type Config struct {
-	// Capacity is how many entries one class may hold.
+	// Capacity is the number of entries that each class can hold.
 	Capacity int
-	// Floors is the part of the capacity that a class gets at least while it
-	// has entries, however many wait in the classes above it.
+	// Floors is the minimum fraction of the served capacity that each class gets
+	// while it has entries, however many entries wait in higher classes.
 	Floors [3]float64
 }
 
-// DefaultFloors keep the lower classes from starvation.
+// DefaultFloors protect the lower classes from starvation.
 var DefaultFloors = [3]float64{High: 0, Normal: 0.1, Low: 0.05}
 
 // Queue holds the entries of one pool. It is not safe for concurrent use.
@@ -94,13 +94,13 @@
 // LenClass returns the number of entries in one class.
 func (q *Queue[V]) LenClass(c Class) int { return q.classes[c].length }
 
-// Push adds an entry. Where its class is full, the account with the most
-// entries for its weight loses its newest one, which is returned; that may be
-// the pushed entry itself.
+// Push adds an entry. If its class is full, it drops and returns the newest entry
+// of the account with the most entries relative to its weight, which may be the
+// pushed entry itself.
 func (q *Queue[V]) Push(e *Entry[V]) (dropped *Entry[V]) {
 	cl := &q.classes[e.Class]
 	if cl.length >= q.config.Capacity {
-		victim := cl.longest(e)
+		victim := cl.newestOfLongest(e)
 		if victim == nil {
 			return e
 		}
@@ -112,7 +112,7 @@
 	return dropped
 }
 
-// Remove takes an entry out; it does nothing where the entry does not wait.
+// Remove removes an entry. It does nothing if the entry is not queued.
 func (q *Queue[V]) Remove(e *Entry[V]) {
 	if !e.Queued() {
 		return
@@ -121,11 +121,11 @@
 	q.length--
 }
 
-// Pop takes the next entry out, or returns nil. Entries that have expired
-// are taken out on the way and returned apart.
+// Pop removes and returns the next entry that has not expired, or nil. It also
+// removes the expired entries before it and returns them separately.
 func (q *Queue[V]) Pop(now clock.Time) (next *Entry[V], expired []*Entry[V]) {
 	for q.length > 0 {
-		e := q.classes[q.nextClass()].pop()
+		e := q.classes[q.takeClass()].pop()
 		q.length--
 		if now.Before(e.Expires) {
 			return e, expired
@@ -135,8 +135,8 @@
 	return nil, expired
 }
 
-// Entries returns the waiting entries by class, and inside a class one of each
-// account in turn.
+// Entries returns the queued entries by class. Within a class it takes one entry of
+// each account per round.
 func (q *Queue[V]) Entries() []*Entry[V] {
 	all := make([]*Entry[V], 0, q.length)
 	for c := range q.classes {
@@ -145,20 +145,21 @@
 	return all
 }
 
-// Peek returns the entry that Pop would take out next, expired or not, or nil.
+// Peek returns the entry that Pop would remove next, expired or not, or nil.
 func (q *Queue[V]) Peek() *Entry[V] {
 	if q.length == 0 {
 		return nil
 	}
-	c, _ := q.choose()
+	c, _ := q.selectClass()
 	return q.classes[c].front()
 }
 
-// nextClass returns the class to serve and settles the credits. Each service
-// credits the waiting classes with their floor of its cost; a class whose
-// credit pays for its next entry goes first, the others strictly by rank.
-func (q *Queue[V]) nextClass() Class {
-	next, owed := q.choose()
+// takeClass returns the class to serve and updates the credits. Each served entry
+// adds its cost times the class's minimum share to the credit of every class with
+// entries. A class whose credit covers its next entry is served first; otherwise the
+// classes are served in strict priority order.
+func (q *Queue[V]) takeClass() Class {
+	next, byCredit := q.selectClass()
 	cost := q.classes[next].front().cost()
 	for c := range classes {
 		cl := &q.classes[c]
@@ -168,14 +169,14 @@
 		}
 		cl.credit += q.config.Floors[c] * cost
 	}
-	if owed {
+	if byCredit {
 		q.classes[next].credit -= cost
 	}
 	return next
 }
 
-// choose returns the class to serve, and whether its credit is used for it.
-func (q *Queue[V]) choose() (next Class, owed bool) {
+// selectClass returns the class to serve, and whether its credit pays for the entry.
+func (q *Queue[V]) selectClass() (next Class, byCredit bool) {
 	next = classes
 	for c := range classes {
 		cl := &q.classes[c]
@@ -183,10 +184,10 @@
 			continue
 		}
 		if q.config.Floors[c] > 0 && cl.credit >= cl.front().cost() {
-			next, owed = c, true
+			next, byCredit = c, true
 		} else if next == classes {
 			next = c
 		}
 	}
-	return next, owed
+	return next, byCredit
 }
--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -55,12 +55,12 @@
 	}
 	got := served(q, 400)
 	if got["a/0"] < 336 || got["a/1"] < 39 || got["a/2"] < 19 {
-		t.Errorf("of 400 services: %v", got)
+		t.Errorf("served of 400: %v, want at least 336 high, 39 normal and 19 low", got)
 	}
 }
 
-// TestShareCountsCost checks that classes and accounts share the capacity and
-// not the number of requests.
+// TestShareCountsCost checks that classes and accounts share the capacity, not the
+// number of requests.
 func TestShareCountsCost(t *testing.T) {
 	q := newQueue(10_000)
 	for i := range 3000 {
@@ -105,12 +105,12 @@
 		t.Errorf("dropped %+v, want one of the longer accounts", d)
 	}
 	if q.Len() != 10 {
-		t.Errorf("length %d", q.Len())
+		t.Errorf("length %d, want 10", q.Len())
 	}
 }
 
-// TestQueueModel checks over random operations that no entry is lost, doubled
-// or served after its expiry, and that no class outgrows its capacity.
+// TestQueueModel checks with random operations that no entry is lost, duplicated or
+// served after its expiry, and that no class exceeds its capacity.
 func TestQueueModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 12).Draw(t, "capacity")
@@ -126,7 +126,7 @@
 				waiting[e] = true
 				if d := q.Push(e); d != nil {
 					if !waiting[d] || d.Class != e.Class || d.Queued() {
-						t.Fatalf("dropped %+v", d)
+						t.Fatalf("dropped %+v, want a waiting entry of the same class", d)
 					}
 					delete(waiting, d)
 				}
@@ -136,11 +136,11 @@
 				first := q.Peek()
 				e, expired := q.Pop(now)
 				if len(expired) > 0 && first != expired[0] || len(expired) == 0 && first != e {
-					t.Fatalf("peeked %+v", first)
+					t.Fatalf("Peek returned %+v, which is not the first entry that Pop removed", first)
 				}
 				for _, x := range expired {
 					if !waiting[x] || now.Before(x.Expires) {
-						t.Fatalf("expired %+v at %d", x, now)
+						t.Fatalf("Pop returned %+v as expired at %d", x, now)
 					}
 					delete(waiting, x)
 				}
@@ -148,7 +148,7 @@
 					return
 				}
 				if !waiting[e] || !now.Before(e.Expires) {
-					t.Fatalf("served %+v at %d", e, now)
+					t.Fatalf("Pop served %+v at %d, which was not waiting or had expired", e, now)
 				}
 				delete(waiting, e)
 			},
@@ -168,7 +168,7 @@
 				}
 				for c := range classes {
 					if q.LenClass(c) > capacity {
-						t.Fatalf("class %d has %d entries of %d", c, q.LenClass(c), capacity)
+						t.Fatalf("class %d has %d entries, more than its capacity of %d", c, q.LenClass(c), capacity)
 					}
 				}
 			},
