--- a/pkg/permit/permit.go
+++ b/pkg/permit/permit.go
@@ -1,10 +1,10 @@
-// Package permit divides the slots of targets between the fleet's lease slots.
+// Package permit distributes the slots of targets over the fleet's lease slots.
 //
-// A permit is the right to run one request on one target. The permits of a
-// target belong to the lease slots of its region, by a function of the target
-// and the slot numbers alone. All VMs therefore agree on the owner of a permit
-// without a message, and since a lease slot has one holder at a time the
-// permits in use over all VMs never exceed the slots of the target.
+// A permit is the right to run one request on one target. Each permit of a target
+// belongs to one of the lease slots of the target's region. The assignment depends
+// on the target and the slot numbers only, so all VMs agree on it without exchanging
+// messages. Because a lease slot has at most one holder at a time, the permits in use
+// across all VMs never exceed the slots of the target.
 package permit
 
 import (
@@ -17,8 +17,8 @@
 	"crocusramp.dev/crocusramp/pkg/target"
 )
 
-// SlotRegions returns the region of each of total lease slots: the regions
-// take the slots in turn. Every VM must use the same list in the same order.
+// SlotRegions returns the region of each of total lease slots, assigned to the
+// regions round robin. Every VM must pass the same regions in the same order.
 func SlotRegions(regions []string, total int) []string {
 	if len(regions) == 0 {
 		return nil
@@ -30,7 +30,7 @@
 	return assigned
 }
 
-// Regions returns the regions of the pools' targets, each once, in order.
+// Regions returns the distinct regions of the pools' targets in sorted order.
 func Regions(pools []target.Pool) []string {
 	var regions []string
 	for _, pool := range pools {
@@ -42,13 +42,13 @@
 	return slices.Compact(regions)
 }
 
-// Assign returns how many permits of the target each lease slot carries,
-// indexed by lease slot. slotRegions gives the region of each lease slot.
+// Assign returns the number of permits of the target that each lease slot carries,
+// indexed by lease slot. slotRegions is the region of each lease slot.
 //
-// The lease slots of the target's region are ranked by rendezvous hashing and
-// take the permits in turn, so that consecutive permits are in different
-// slots. The ranking of one target does not depend on any other: VMs whose
-// settings differ in other targets still agree on this one.
+// The lease slots of the target's region are ranked by rendezvous hashing and get
+// the permits round robin in that order, so that consecutive permits belong to
+// different slots. The ranking does not depend on other targets: VMs whose settings
+// differ in other targets still agree on this one.
 func Assign(t target.Target, slotRegions []string) []int {
 	counts := make([]int, len(slotRegions))
 	ranked := rank(t.ID, t.Region, slotRegions)
@@ -61,9 +61,9 @@
 	return counts
 }
 
-// Limit returns the number of permits of the target: its slots, or its
-// connections where it accepts fewer, since each running request has a
-// connection of its own.
+// Limit returns the number of permits of the target: its slots, or the number of
+// connections that it accepts if that is smaller, because each running request
+// needs its own connection.
 func Limit(t target.Target) int {
 	if t.Connections > 0 {
 		return min(t.Slots, t.Connections)
@@ -71,9 +71,9 @@
 	return t.Slots
 }
 
-// Connections returns how many connections to the target a VM may keep that
-// holds the given number of its permits. The parts of all VMs add up to no
-// more than the target's limit, and each is at least the permits held.
+// Connections returns the number of connections that a VM may keep to the target if
+// it holds the given number of the target's permits. The sum over all VMs does not
+// exceed the target's limit, and each VM may keep at least one connection per permit.
 func Connections(t target.Target, held int) int {
 	permits := Limit(t)
 	if permits == 0 || t.Connections == 0 {
@@ -82,20 +82,21 @@
 	return t.Connections * held / permits
 }
 
-type ranking struct {
+type rankedSlot struct {
 	slot  int
 	score uint64
 }
 
-// rank orders the lease slots of the region by their hash with the target.
+// rank returns the lease slots of the region in order of their rendezvous hash with
+// the target's ID, highest first.
 func rank(id, region string, slotRegions []string) []int {
-	var ranked []ranking
+	var ranked []rankedSlot
 	for slot, r := range slotRegions {
 		if r == region {
-			ranked = append(ranked, ranking{slot, score(id, slot)})
+			ranked = append(ranked, rankedSlot{slot, score(id, slot)})
 		}
 	}
-	slices.SortFunc(ranked, func(a, b ranking) int {
+	slices.SortFunc(ranked, func(a, b rankedSlot) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.slot, b.slot))
 	})
 	slots := make([]int, len(ranked))
