--- a/pkg/route/match.go
+++ b/pkg/route/match.go
@@ -1,5 +1,4 @@
-// Package route finds the route of a request and chooses the region, the peer
-// and the target that it goes to. Its functions are pure.
+// Package route finds the route of a request. Its functions are pure.
 package route
 
 import (
@@ -9,10 +8,10 @@
 	"crocusramp.dev/crocusramp/pkg/config"
 )
 
-// Match returns the route of the longest path prefix that allows the method,
-// or nil. A prefix matches whole path segments: "/a" matches "/a" and "/a/b",
-// not "/ab". A path with empty or dot segments matches nothing, because the
-// target could resolve it to a path of another route.
+// Match returns the route with the longest matching path prefix among those that
+// allow the method, or nil. A prefix matches whole path segments: "/a" matches "/a"
+// and "/a/b", but not "/ab". A path with empty or dot segments matches no route,
+// because the target could resolve it to a path of another route.
 func Match(cfg *config.Config, method, path string) *config.Route {
 	if !canonical(path) {
 		return nil
@@ -22,16 +21,16 @@
 		if !hasPrefix(path, r.PathPrefix) || !allows(r, method) {
 			continue
 		}
-		if best == nil || preferred(r, best) {
+		if best == nil || takesPrecedence(r, best) {
 			best = r
 		}
 	}
 	return best
 }
 
-// preferred orders routes by length of prefix; equal ones by name, so that
-// all VMs choose the same.
-func preferred(r, best *config.Route) bool {
+// takesPrecedence reports whether r takes precedence over best: the longer prefix wins,
+// and among equal lengths the lesser name, so that all VMs choose the same route.
+func takesPrecedence(r, best *config.Route) bool {
 	if len(r.PathPrefix) != len(best.PathPrefix) {
 		return len(r.PathPrefix) > len(best.PathPrefix)
 	}
@@ -49,7 +48,8 @@
 	return len(path) == len(prefix) || strings.HasSuffix(prefix, "/") || prefix == "" || path[len(prefix)] == '/'
 }
 
-// canonical reports whether the path is absolute and resolves to itself.
+// canonical reports whether the path is absolute and has no empty, "." or ".."
+// segments, so that it resolves to itself.
 func canonical(path string) bool {
 	if !strings.HasPrefix(path, "/") {
 		return false
--- a/pkg/route/table.go
+++ b/pkg/route/table.go
@@ -21,7 +21,7 @@
 	}
 	for _, list := range t.hosts {
 		slices.SortFunc(list, func(a, b *config.Route) int {
-			if preferred(a, b) {
+			if takesPrecedence(a, b) {
 				return -1
 			}
 			return 1
@@ -30,8 +30,9 @@
 	return t
 }
 
-// Find returns the route of the longest prefix of the path among the routes of
-// the host, or nil. host may hold a port.
+// Find returns the route of the host with the longest prefix of the path, or nil.
+// Unlike Match, it compares prefixes byte by byte, not by whole segments. host may
+// have a port.
 func (t *Table) Find(host, path string) *config.Route {
 	for _, r := range t.hosts[HostName(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
@@ -41,10 +42,10 @@
 	return nil
 }
 
-// Routes returns the routes of a host.
+// Routes returns the routes of a host, longest prefix first. host may have a port.
 func (t *Table) Routes(host string) []*config.Route { return t.hosts[HostName(host)] }
 
-// HostName returns the host in lower case without a port.
+// HostName returns the host in lower case and without its port.
 func HostName(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
