--- a/pkg/keys/keys.go
+++ b/pkg/keys/keys.go
@@ -1,10 +1,10 @@
-// Package keys makes, verifies and masks the keys of client accounts.
+// Package keys creates, verifies and redacts the API keys of client accounts.
 //
-// A key is "crk_<id>_<secret>". The ID is public; the secret has 256 random
-// bits, so one round of SHA-256 over salt and secret cannot be searched and a
-// slow password hash would only cost time at each request. Verification takes
-// about as long as a cache look-up would, so there is no cache of verified
-// keys that could outlive a withdrawal.
+// A key is "crk_<id>_<secret>". The ID is public. The secret has 256 random bits,
+// so a single SHA-256 over salt and secret cannot be brute-forced, and a slow
+// password hash would only add latency to each request. Verification takes about as
+// long as a cache lookup, so there is no cache of verified keys that could outlive
+// the withdrawal of a key.
 package keys
 
 import (
@@ -22,7 +22,7 @@
 )
 
 const (
-	// Prefix begins every key, so that scanners recognise a leaked one.
+	// Prefix starts every key, so that secret scanners recognise a leaked one.
 	Prefix = "crk_"
 
 	idBytes     = 10 // 16 characters
@@ -31,22 +31,24 @@
 
 	idLength     = 16
 	secretLength = 52
-	// maxHashInput bounds salt and secret, which validation keeps below it.
+	// maxHashInput bounds the length of salt and secret together. Validation
+	// keeps them below it.
 	maxHashInput = 256
 
-	// staleRetry is when a caller that met a stale VM may ask again.
-	staleRetry = time.Second
+	// staleRetryAfter is the retry delay for a caller that was refused because the
+	// VM's configuration is stale.
+	staleRetryAfter = time.Second
 )
 
 var encoding = base32.NewEncoding("abcdefghijklmnopqrstuvwxyz234567").WithPadding(base32.NoPadding)
 
-// New returns a new key of the account, to be stored, and the text that the
-// caller shows. The text exists nowhere else.
+// New returns a new key of the account, to be stored, and its text, which callers
+// present. The text is not stored anywhere.
 func New(account string) (config.Key, string) {
-	id := random(idBytes)
-	secret := random(secretBytes)
+	id := randomText(idBytes)
+	secret := randomText(secretBytes)
 	salt := make([]byte, saltBytes)
-	rand.Read(salt) // never fails: it ends the process in place of an error
+	rand.Read(salt) // never returns an error: it crashes the program instead
 	sum := hash(salt, secret)
 	key := config.Key{
 		ID:      id,
@@ -58,7 +60,7 @@
 	return key, Prefix + id + "_" + secret
 }
 
-func random(n int) string {
+func randomText(n int) string {
 	b := make([]byte, n)
 	rand.Read(b)
 	return encoding.EncodeToString(b)
@@ -71,14 +73,14 @@
 	return sha256.Sum256(buf[:n])
 }
 
-// Verify reports whether the secret is that of the key, in constant time.
+// Verify reports whether the secret belongs to the key. It compares in constant time.
 func Verify(k *config.Key, secret string) bool {
 	sum := hash(k.Salt, secret)
 	return subtle.ConstantTimeCompare(sum[:], k.Hash) == 1
 }
 
-// Parse splits the text of a key into ID and secret. It reports false where
-// the text is not a key.
+// Parse splits the text of a key into ID and secret. ok is false if the text is not a
+// key.
 func Parse(text string) (id, secret string, ok bool) {
 	rest, ok := strings.CutPrefix(text, Prefix)
 	if !ok || len(rest) != idLength+1+secretLength || rest[idLength] != '_' {
@@ -87,16 +89,16 @@
 	return rest[:idLength], rest[idLength+1:], true
 }
 
-// Authenticate returns the client account whose key the Authorization header
-// shows, under the newest configuration that this VM knows. A snapshot that
-// is not fresh may lack a withdrawal, so that no key is accepted on it.
+// Authenticate returns the client account of the key in the Authorization header,
+// according to the newest configuration that this VM knows. It accepts no key if the
+// snapshot is stale, because the snapshot may lack the withdrawal of the key.
 func Authenticate(s config.Snapshot, authorization string) (*config.Account, *outcome.Refusal) {
 	id, secret, refusal := credentials(authorization)
 	if refusal != nil {
 		return nil, refusal
 	}
 	if !s.Fresh {
-		return nil, outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonStale, staleRetry,
+		return nil, outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonStale, staleRetryAfter,
 			"this VM cannot tell whether the key has been withdrawn")
 	}
 	key := s.Keys[id]
@@ -129,12 +131,12 @@
 	return outcome.Refuse(http.StatusUnauthorized, outcome.ReasonUnauthenticated, 0, detail)
 }
 
-// keyShaped matches whole and damaged keys, also percent-encoded ones, and
-// what follows without a break, which may be another key.
-var keyShaped = regexp.MustCompile(`(?i)(crk(?:_|%5f)[0-9a-z]{0,64}(?:_|%5f))(?:[0-9a-z_]|%5f)+`)
+// keyPattern matches complete and damaged keys, also percent-encoded ones, together
+// with any directly following key characters, which may be another key.
+var keyPattern = regexp.MustCompile(`(?i)(crk(?:_|%5f)[0-9a-z]{0,64}(?:_|%5f))(?:[0-9a-z_]|%5f)+`)
 
-// Redact masks the secret of everything in s that looks like a key and keeps
-// its ID, for logs and error messages.
+// Redact replaces the secret of everything in s that looks like a key and keeps its
+// ID. It is meant for logs and error messages.
 func Redact(s string) string {
-	return keyShaped.ReplaceAllString(s, "${1}[redacted]")
+	return keyPattern.ReplaceAllString(s, "${1}[redacted]")
 }
--- a/pkg/keys/keys_test.go
+++ b/pkg/keys/keys_test.go
@@ -9,7 +9,8 @@
 	"crocusramp.dev/crocusramp/pkg/outcome"
 )
 
-// snapshot holds one account with one key, and returns the key's text.
+// snapshot returns a configuration snapshot with one account and one key, and the
+// key's ID and text.
 func snapshot(t testing.TB) (config.Snapshot, string, string) {
 	key, text := New("moara")
 	c := config.Empty()
@@ -23,7 +24,7 @@
 	_, other := New("moara")
 	id, secret, ok := Parse(text)
 	if !ok {
-		t.Fatalf("New made a key that Parse refuses")
+		t.Fatalf("Parse rejects a key that New returned")
 	}
 	changed := Prefix + id + "_" + strings.Repeat("a", len(secret))
 	for _, tc := range []struct {
@@ -53,7 +54,7 @@
 			continue
 		}
 		if strings.Contains(refusal.Error(), secret) {
-			t.Errorf("%s: the refusal holds the secret", tc.name)
+			t.Errorf("%s: the refusal contains the secret", tc.name)
 		}
 	}
 }
@@ -63,7 +64,7 @@
 	s.Fresh = false
 	_, refusal := Authenticate(s, "Bearer "+text)
 	if refusal == nil || refusal.Reason != outcome.ReasonStale || refusal.RetryAfter <= 0 {
-		t.Errorf("stale snapshot: %v", refusal)
+		t.Errorf("stale snapshot: refusal %v, want reason ReasonStale with a retry delay", refusal)
 	}
 }
 
@@ -78,16 +79,16 @@
 	}
 	_, refusal := Authenticate(config.Snapshot{Config: next, Fresh: true}, "Bearer "+text)
 	if refusal == nil || refusal.Status != http.StatusUnauthorized {
-		t.Errorf("withdrawn key: %v", refusal)
+		t.Errorf("withdrawn key: refusal %v, want status 401", refusal)
 	}
 }
 
-func TestAuthenticateAccountGone(t *testing.T) {
+func TestAuthenticateDeletedAccount(t *testing.T) {
 	s, _, text := snapshot(t)
 	delete(s.Accounts, "moara")
 	_, refusal := Authenticate(s, "Bearer "+text)
 	if refusal == nil || refusal.Status != http.StatusForbidden {
-		t.Errorf("account gone: %v", refusal)
+		t.Errorf("deleted account: refusal %v, want status 403", refusal)
 	}
 }
 
@@ -109,10 +110,10 @@
 		}
 	}
 	if got := Redact("key " + text); !strings.Contains(got, id) {
-		t.Errorf("the public ID is masked: %q", got)
+		t.Errorf("the public ID is redacted: %q", got)
 	}
 	if got := Redact("nothing here"); got != "nothing here" {
-		t.Errorf("Redact changed %q", got)
+		t.Errorf("Redact changed a text without a key to %q", got)
 	}
 }
 
