--- a/pkg/block/block.go
+++ b/pkg/block/block.go
@@ -1,6 +1,6 @@
-// Package block maps callers' addresses to regions or sites by a table of
-// client blocks (CIDR prefixes). A table is immutable and compact: it is laid
-// out for 1.9 million blocks within the 64 MB that a VM may spend on control.
+// Package block maps callers' addresses to regions or sites with a table of client
+// blocks (CIDR prefixes). A table is immutable and compact: it is designed to hold
+// 1.9 million blocks within the 64 MB that a VM may use for the control plane.
 package block
 
 import (
@@ -15,20 +15,20 @@
 // ErrInvalid reports a block that a table cannot hold.
 var ErrInvalid = errors.New("invalid client block")
 
-// maxSites is the number of distinct sites that fit the table's 16-bit index;
-// one index stands for addresses outside all blocks.
+// maxSites is the number of distinct sites that fit the table's 16-bit site index.
+// One of its values is reserved for addresses outside all blocks.
 const maxSites = 1<<16 - 1
 
 // noSite marks address ranges outside all blocks.
 const noSite = maxSites
 
-// buckets is the number of entries of the first-level index: one for each
-// value of an address's upper 16 bits.
+// buckets is the number of entries in the first-level index: one for each value of
+// an address's upper 16 bits.
 const buckets = 1 << 16
 
-// indexFrom is the number of ranges from which the first-level index, 256 KiB,
-// is worth its memory.
-const indexFrom = 4096
+// minIndexedRanges is the number of ranges from which the first-level index is worth its
+// 256 KiB of memory.
+const minIndexedRanges = 4096
 
 // Block assigns the addresses of a prefix to a site.
 type Block struct {
@@ -36,27 +36,28 @@
 	Site   string
 }
 
-// Table finds the site of an address by the longest matching prefix. IPv6
-// prefixes longer than 64 bits are not held.
+// Table finds the site of an address by its longest matching prefix. It does not
+// support IPv6 prefixes longer than 64 bits.
 type Table struct {
 	sites []string
 	v4    ranges[uint32]
 	v6    ranges[uint64]
 }
 
-// ranges holds disjoint ranges: range i begins at starts[i], ends before
+// ranges holds disjoint address ranges: range i starts at starts[i], ends before
 // starts[i+1] and belongs to sites[i].
 type ranges[T cmp.Ordered] struct {
 	starts []T
 	sites  []uint16
-	// first[h] is the last range that begins at or before the smallest
-	// address whose upper 16 bits are h. It is nil in small tables.
+	// first[h] is the last range that starts before the smallest address whose
+	// upper 16 bits are h, or 0 if there is none. It is nil in tables of less than
+	// minIndexedRanges ranges.
 	first []uint32
 }
 
-// New returns a table of blocks in any order. Nested blocks are resolved to
-// the longest prefix. Errors: ErrInvalid for an IPv6 prefix longer than 64
-// bits, a block given twice, or more than 65,535 sites.
+// New returns a table of the blocks, which may be in any order. For nested blocks,
+// the longest prefix wins. It returns ErrInvalid for an IPv6 prefix longer than 64
+// bits, a missing prefix, a duplicate block, or more than 65,535 sites.
 func New(blocks []Block) (*Table, error) {
 	t := &Table{}
 	index := map[string]uint16{}
@@ -95,7 +96,7 @@
 	return t, err
 }
 
-// Lookup returns the site of an address and whether a block holds it.
+// Lookup returns the site of an address; ok is false if no block contains it.
 func (t *Table) Lookup(a netip.Addr) (site string, ok bool) {
 	a = a.Unmap()
 	i := uint16(noSite)
@@ -118,20 +119,20 @@
 	return binary.BigEndian.Uint32(b[:])
 }
 
-// v6Key returns the network half of an address.
+// v6Key returns the upper 64 bits of an address.
 func v6Key(a netip.Addr) uint64 {
 	b := a.As16()
 	return binary.BigEndian.Uint64(b[:8])
 }
 
-// span is a block as an inclusive range.
+// span is a block as an inclusive address range.
 type span[T uint32 | uint64] struct {
 	start, last T
 	site        uint16
 }
 
-// flatten turns nested spans into disjoint ranges. Prefixes either nest or are
-// disjoint, so a stack of the spans that are open suffices.
+// flatten turns nested spans into disjoint ranges. Two prefixes are either nested or
+// disjoint, so a stack of the open spans is sufficient.
 func flatten[T uint32 | uint64](spans []span[T], bucket func(T) uint32) (ranges[T], error) {
 	slices.SortFunc(spans, func(a, b span[T]) int {
 		return cmp.Or(cmp.Compare(a.start, b.start), cmp.Compare(b.last, a.last))
@@ -139,7 +140,7 @@
 	r := ranges[T]{starts: make([]T, 0, len(spans)+1), sites: make([]uint16, 0, len(spans)+1)}
 	r.add(0, noSite)
 	var open []span[T]
-	closeBefore := func(start T, all bool) {
+	closeSpansBefore := func(start T, all bool) {
 		for len(open) > 0 && (all || open[len(open)-1].last < start) {
 			ended := open[len(open)-1]
 			open = open[:len(open)-1]
@@ -156,17 +157,17 @@
 		if i > 0 && s.start == spans[i-1].start && s.last == spans[i-1].last {
 			return r, fmt.Errorf("%w: a prefix is listed twice", ErrInvalid)
 		}
-		closeBefore(s.start, false)
+		closeSpansBefore(s.start, false)
 		r.add(s.start, s.site)
 		open = append(open, s)
 	}
-	closeBefore(0, true)
+	closeSpansBefore(0, true)
 	r.index(bucket)
 	return r, nil
 }
 
-// add begins a range; one that begins where the last one does replaces it, and
-// one of the same site continues it.
+// add appends a range. It replaces the last range if both start at the same address,
+// and extends the last range if both have the same site.
 func (r *ranges[T]) add(start T, site uint16) {
 	n := len(r.starts)
 	if n > 0 && r.starts[n-1] == start {
@@ -181,7 +182,7 @@
 
 func (r *ranges[T]) index(bucket func(T) uint32) {
 	r.starts, r.sites = slices.Clip(r.starts), slices.Clip(r.sites)
-	if len(r.starts) < indexFrom {
+	if len(r.starts) < minIndexedRanges {
 		return
 	}
 	r.buildIndex(bucket)
@@ -199,7 +200,7 @@
 	r.first[buckets] = uint32(len(r.starts) - 1)
 }
 
-// find returns the site of the range that holds k, whose bucket is h.
+// find returns the site of the range that contains k; h is k's bucket.
 func (r *ranges[T]) find(k T, h uint32) uint16 {
 	low, high := 0, len(r.starts)-1
 	if r.first != nil {
@@ -216,7 +217,7 @@
 	return r.sites[low]
 }
 
-// Bytes returns the memory that the table's ranges take.
+// Bytes returns the memory size of the table's ranges and indexes.
 func (t *Table) Bytes() int {
 	return len(t.v4.starts)*(4+2) + len(t.v6.starts)*(8+2) + (len(t.v4.first)+len(t.v6.first))*4
 }
--- a/pkg/block/block_test.go
+++ b/pkg/block/block_test.go
@@ -28,15 +28,15 @@
 		"11.0.0.0": "default", "255.255.255.255": "last", "::ffff:10.1.2.3": "c", "2001:db8:1::1": "six",
 	} {
 		if got, ok := table.Lookup(netip.MustParseAddr(address)); !ok || got != want {
-			t.Errorf("%s: %q %v, want %q", address, got, ok, want)
+			t.Errorf("%s: got %q, %v, want %q", address, got, ok, want)
 		}
 	}
 	if site, ok := table.Lookup(netip.MustParseAddr("2001:db9::1")); ok {
-		t.Errorf("an address outside all blocks has site %q", site)
+		t.Errorf("address outside all blocks has site %q", site)
 	}
 }
 
-func TestNewRefuses(t *testing.T) {
+func TestNewRejectsInvalidBlocks(t *testing.T) {
 	p := netip.MustParsePrefix("10.0.0.0/8")
 	for name, blocks := range map[string][]Block{
 		"twice":   {{p, "a"}, {p, "b"}},
@@ -44,12 +44,12 @@
 		"missing": {{netip.Prefix{}, "a"}},
 	} {
 		if _, err := New(blocks); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: New returned no error", name)
 		}
 	}
 }
 
-// TestLookupMatchesScan compares the table with a scan over all prefixes.
+// TestLookupMatchesScan compares Lookup with a linear scan over all prefixes.
 func TestLookupMatchesScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seen := map[netip.Prefix]bool{}
@@ -77,7 +77,7 @@
 			}
 		}
 		if got, ok := table.Lookup(a); got != want || ok != (bits >= 0) {
-			t.Fatalf("%s: %q %v, want %q", a, got, ok, want)
+			t.Fatalf("%s: got %q, %v, want %q", a, got, ok, want)
 		}
 	})
 }
@@ -88,8 +88,8 @@
 	return netip.AddrFrom4(b)
 }
 
-// blocksOf returns n disjoint /24 blocks spread over 1,300 sites.
-func blocksOf(n int) []Block {
+// disjointBlocks returns n disjoint /24 blocks spread over 1,300 sites.
+func disjointBlocks(n int) []Block {
 	r := rand.New(rand.NewPCG(1, 1))
 	blocks := make([]Block, n)
 	for i := range blocks {
@@ -102,7 +102,7 @@
 func BenchmarkLookup(b *testing.B) {
 	for _, n := range []int{100_000, 500_000, 1_900_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			blocks := blocksOf(n)
+			blocks := disjointBlocks(n)
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
