--- a/pkg/target/live.go
+++ b/pkg/target/live.go
@@ -41,7 +41,7 @@
 	// incompleteStreams counts the consecutive streamed responses that did not complete.
 	incompleteStreams atomic.Int32
 	acceptRatio       atomic.Uint64 // math.Float64bits of the fraction of the requests that the target runs
-	unreachable       atomic.Pointer[unreachableSignal]
+	unreachableCtx    atomic.Pointer[unreachableSignal]
 	limit             atomic.Pointer[limitState] // nil before the first limit
 	// unreadableLimit is true once a response had a limit that could not be parsed.
 	unreadableLimit atomic.Bool
@@ -165,7 +165,7 @@
 		return false
 	}
 	if unreachable {
-		if signal := l.unreachable.Swap(nil); signal != nil {
+		if signal := l.unreachableCtx.Swap(nil); signal != nil {
 			signal.cancel()
 		}
 	}
@@ -175,12 +175,12 @@
 // Lost returns a context that is cancelled when the target is found to be unreachable, so
 // that requests waiting for a response can give up.
 func (l *Live) Lost() context.Context {
-	if signal := l.unreachable.Load(); signal != nil {
+	if signal := l.unreachableCtx.Load(); signal != nil {
 		return signal.ctx
 	}
 	signal := &unreachableSignal{}
 	signal.ctx, signal.cancel = context.WithCancel(context.Background())
-	if l.unreachable.CompareAndSwap(nil, signal) {
+	if l.unreachableCtx.CompareAndSwap(nil, signal) {
 		return signal.ctx
 	}
 	signal.cancel()
