--- a/pkg/forward/exchange.go
+++ b/pkg/forward/exchange.go
@@ -197,11 +197,10 @@
 }
 
 // fail closes the connection and describes the failure.
-func (x *exchange) fail(ctx context.Context, answered bool, err error) *Error {
+func (x *exchange) fail(ctx context.Context, gotResponse bool, err error) *Error {
 	x.detachContext()
 	x.conn.Close()
-	// Check the context before waitSent: it may end the context of an HTTP server's
-	// request.
+	// Check the context first: waitSent may end the context of an HTTP server's request.
 	ctxErr := ctx.Err()
 	sendErr := x.waitSent()
 	e := &Error{Wrote: x.conn.written.Load() > 0, Err: err}
@@ -213,7 +212,7 @@
 		e.Err = sendErr
 		return e
 	}
-	e.Died = e.Wrote && !answered && connectionClosed(err)
+	e.Died = e.Wrote && !gotResponse && connectionClosed(err)
 	return e
 }
 
@@ -241,8 +240,8 @@
 	return n, err
 }
 
-// Close ends the exchange. It keeps the connection for reuse if the request was sent
-// and the body was read completely, and closes it otherwise.
+// Close ends the exchange. It keeps the connection for reuse if the request was sent and
+// the response was read completely and cleanly, and closes it otherwise.
 func (r *Response) Close() {
 	x := r.exchange
 	attached := x.detachContext()
