--- a/pkg/target/backoff.go
+++ b/pkg/target/backoff.go
@@ -41,8 +41,8 @@
 	return max(0, time.Duration(until-instant(now)))
 }
 
-// TakesWork reports whether requests may be sent to the target now, judging by its health and by what
-// it has announced. Senders enforce the lower rate of a cold or limited target themselves.
+// TakesWork reports whether requests may be sent to the target now, judging by its health and
+// by what it has announced. Senders enforce the lower rate of a cold or limited target themselves.
 func (l *Live) TakesWork(now time.Time) bool {
 	return l.Sound() && !l.Leaving() && l.BackoffLeft(now) == 0
 }
--- a/pkg/target/limit.go
+++ b/pkg/target/limit.go
@@ -31,7 +31,8 @@
 	unchangedSince int64
 }
 
-// LimitNamed records a response that set a limit at observedAt. It reports whether the limit changed.
+// LimitNamed records a response that set a limit at observedAt. It reports whether the limit
+// changed.
 func (l *Live) LimitNamed(rate float64, observedAt time.Time) bool {
 	return l.updateLimit(Limit{Rate: rate, Named: true}, observedAt, observedAt)
 }
@@ -45,8 +46,8 @@
 	return l.updateLimit(Limit{}, sentAt, now)
 }
 
-// LimitUnclear records a response whose limit cannot be parsed. It reports whether that is the first
-// one.
+// LimitUnclear records a response whose limit cannot be parsed. It reports whether that is
+// the first one.
 func (l *Live) LimitUnclear() bool { return !l.unreadableLimit.Swap(true) }
 
 // updateLimit records the limit of a response. The target had this limit at some moment between at
@@ -67,8 +68,8 @@
 	}
 }
 
-// LimitReported records a limit that another VM observed. It reports whether the limit changed. If it
-// is uncertain which observation is newer, the target counts as limited.
+// LimitReported records a limit that another VM observed. It reports whether the limit changed.
+// If it is uncertain which observation is newer, the target counts as limited.
 func (l *Live) LimitReported(r Report) bool {
 	at := instant(r.Earliest)
 	if r.Named {
--- a/pkg/target/live.go
+++ b/pkg/target/live.go
@@ -91,8 +91,8 @@
 // service time.
 const serviceTimeWeight = 0.05
 
-// Served records how long a request took and the load that it met at the target. It returns
-// an estimate of how long the request occupied a slot, without its wait for one.
+// Served records how long a request took and the load that it met at the target. It
+// returns an estimate of how long the request occupied a slot, without its wait for one.
 func (l *Live) Served(duration time.Duration, load int) time.Duration {
 	queued := max(0, load+1-l.Slots)
 	service := float64(duration) / (1 + float64(queued)/float64(l.Slots))
@@ -172,8 +172,8 @@
 	return !l.suspect.Swap(true)
 }
 
-// Lost returns a context that is cancelled when the target is found to be unreachable, so
-// that requests waiting for a response can give up.
+// Lost returns a context that is cancelled when the target is found to be
+// unreachable, so that requests waiting for a response can give up.
 func (l *Live) Lost() context.Context {
 	if signal := l.unreachableCtx.Load(); signal != nil {
 		return signal.ctx
@@ -187,9 +187,10 @@
 	return l.Lost()
 }
 
-// Unfinished records a streamed response that broke off or did not end. It reports whether the target
-// became suspect because of it. A target that passes its health check afterwards becomes suspect again
-// with the next such response, until a streamed response completes.
+// Unfinished records a streamed response that broke off or did not end. It reports
+// whether the target became suspect because of it. A target that passes its health check
+// afterwards becomes suspect again with the next such response, until a streamed response
+// completes.
 func (l *Live) Unfinished() bool {
 	if l.incompleteStreams.Add(1) < failuresToSuspect {
 		return false
@@ -237,8 +238,8 @@
 	minAcceptRatio = 0.25
 )
 
-// MayRun reports whether a target that has refused a request is likely enough to run it
-// on a retry. It is false for a target that is not known to run any requests.
+// MayRun reports whether a target that has refused a request is likely enough
+// to run it on a retry. It is false for a target that is not known to run any requests.
 func (l *Live) MayRun() bool { return math.Float64frombits(l.acceptRatio.Load()) >= minAcceptRatio }
 
 // Cleared records a passed health check: the target is no longer suspect. It may have
