--- a/pkg/forward/client.go
+++ b/pkg/forward/client.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	defaultBufferBytes          = 16 << 10
-	defaultDialTimeout          = time.Second
-	defaultMaxIdle              = 64
-	defaultIdleTimeout          = 30 * time.Second
-	defaultFreshIdle            = time.Second
-	defaultMaxHeaderBytes       = 64 << 10
-	maxInformational            = 8
-	unlimited             int64 = 1 << 62
+	defaultBufferBytes                 = 16 << 10
+	defaultDialTimeout                 = time.Second
+	defaultMaxIdle                     = 64
+	defaultIdleTimeout                 = 30 * time.Second
+	defaultAtMostOnceIdleTimeout       = time.Second
+	defaultMaxHeaderBytes              = 64 << 10
+	maxInformational                   = 8
+	unlimited                    int64 = 1 << 62
 )
 
 var (
@@ -52,8 +52,8 @@
 	Died bool
 	// Ended reports that the context ended before the exchange did.
 	Ended bool
-	// Silent reports that a new connection was neither accepted nor refused in time. A single lost
-	// packet can cause this.
+	// Silent reports that a new connection was neither accepted nor refused in
+	// time. A single lost packet can cause this.
 	Silent bool
 	Err    error
 }
@@ -114,7 +114,7 @@
 		c.IdleTimeout = defaultIdleTimeout
 	}
 	if c.FreshIdle == 0 {
-		c.FreshIdle = defaultFreshIdle
+		c.FreshIdle = defaultAtMostOnceIdleTimeout
 	}
 	if c.MaxHeaderBytes == 0 {
 		c.MaxHeaderBytes = defaultMaxHeaderBytes
@@ -131,10 +131,11 @@
 	return &Client{config: c, idle: map[string][]*conn{}}
 }
 
-// Refuses reports whether an address refuses connections because nothing listens on it any more. It
-// dials a new connection: when a process exits, its connections break one after the other, so an
-// existing connection that still works proves nothing. The new connection is kept for reuse. An address
-// that neither accepts nor refuses in time does not count as refusing.
+// Refuses reports whether an address refuses connections because nothing listens
+// on it any more. It dials a new connection: when a process exits, its connections
+// break one after the other, so an existing connection that still works proves
+// nothing. The new connection is kept for reuse. An address that neither accepts nor
+// refuses in time does not count as refusing.
 func (c *Client) Refuses(ctx context.Context, address string) bool {
 	cn, err := c.dial(ctx, address)
 	if err != nil {
--- a/pkg/forward/forward_test.go
+++ b/pkg/forward/forward_test.go
@@ -160,17 +160,17 @@
 	c := NewClient(Config{})
 	defer c.Close()
 	tests := []struct {
-		name        string
-		ctx         context.Context
-		address     string
-		body        io.Reader
-		wrote, died bool
-		err         error
+		name                    string
+		ctx                     context.Context
+		address                 string
+		body                    io.Reader
+		wrote, connectionClosed bool
+		err                     error
 	}{
 		{name: "refused", address: refused},
 		{name: "refused with a body", address: refused, body: strings.NewReader("x")},
 		{name: "cancelled before", ctx: cancelled, address: closes, err: context.Canceled},
-		{name: "closed", address: closes, wrote: true, died: true},
+		{name: "closed", address: closes, wrote: true, connectionClosed: true},
 		{name: "silent", ctx: soon, address: silent, wrote: true, err: context.DeadlineExceeded},
 		{name: "reading the caller's body fails", address: silent, body: io.MultiReader(strings.NewReader("x"), failingReader{}), wrote: true, err: ErrCallerBody},
 	}
@@ -190,7 +190,7 @@
 		}
 		// The truncated body may be read before any of it is flushed from the buffer.
 		wroteAsWanted := err.Wrote == test.wrote || errors.Is(err, ErrCallerBody)
-		if !wroteAsWanted || err.Died != test.died || (test.err != nil && !errors.Is(err, test.err)) {
+		if !wroteAsWanted || err.Died != test.connectionClosed || (test.err != nil && !errors.Is(err, test.err)) {
 			t.Errorf("%s: got %+v", test.name, err)
 		}
 	}
