--- a/pkg/deathreport/deathreport.go
+++ b/pkg/deathreport/deathreport.go
@@ -75,7 +75,7 @@
 // does not reach learns of the death by heartbeats, or when the request crashes a target there.
 // Report returns whether the death makes the request suspect.
 func (s *Service) Report(f quarantine.Fingerprint, d quarantine.Death) bool {
-	if !s.cfg.List.Note(f, d) {
+	if !s.cfg.List.RecordDeath(f, d) {
 		return false
 	}
 	if s.cfg.Peers == nil {
@@ -128,18 +128,18 @@
 		if err != nil {
 			return nil, twirp.InvalidArgumentError("suspects", err.Error())
 		}
-		s.TakeIn(c, "report")
+		s.Merge(c, "report")
 	}
 	return &peerpb.ReportDeathsResponse{}, nil
 }
 
-// TakeIn records what another VM knows of a request; source is how this VM learned it, for the log.
-func (s *Service) TakeIn(c quarantine.Case, source string) {
+// Merge records what another VM knows of a request; source is how this VM learned it, for the log.
+func (s *Service) Merge(c quarantine.Case, source string) {
 	for _, d := range c.Deaths {
-		if s.cfg.List.Note(c.Fingerprint, d) {
+		if s.cfg.List.RecordDeath(c.Fingerprint, d) {
 			s.cfg.Log.Info().Stringer("fingerprint", c.Fingerprint).Str("target", d.Target).Int("prior", d.Prior).
 				Dur("age_ms", d.Age).Str("by", source).Msg("another VM saw a target die while it ran a request")
 		}
 	}
-	s.cfg.List.Tried(c.Fingerprint, c.Trials)
+	s.cfg.List.RecordTrials(c.Fingerprint, c.Trials)
 }
--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -176,7 +176,7 @@
 	d.targetLimits = newTargetLimits()
 	d.targetLimits.service = limit.NewService(limit.Config{
 		Config: d.targetLimits, Slots: lendableHolder{d.fleet}, Members: d.members, Peers: d.dialer, Clock: d.clock, Loop: d.loop, Log: d.log, Metrics: d.metrics,
-		Name: limiterName, Near: d.targetLimits.regionOf, Eager: true,
+		Name: limiterName, PreferredRegion: d.targetLimits.regionOf, Prefetch: true,
 	})
 }
 
--- a/pkg/edge/follow.go
+++ b/pkg/edge/follow.go
@@ -295,7 +295,7 @@
 	var late atomic.Bool
 	for _, l := range d.limiters() {
 		waits.Go(func() {
-			if !l.AwaitSettled(ctx, vms) {
+			if !l.AwaitLoansEnded(ctx, vms) {
 				late.Store(true)
 			}
 		})
--- a/pkg/edge/limits.go
+++ b/pkg/edge/limits.go
@@ -72,7 +72,7 @@
 
 // Admit counts a request to a target that announces a limit. It may ask another VM for a token.
 func (t *targetLimits) Admit(ctx context.Context, l *target.Live, named target.Limit, spare float64) limit.Decision {
-	return t.service.AdmitSparing(ctx, t.upsert(l, named), spare)
+	return t.service.AdmitWithReserve(ctx, t.upsert(l, named), spare)
 }
 
 // AdmitLocally is Admit without asking another VM.
--- a/pkg/edge/suspects.go
+++ b/pkg/edge/suspects.go
@@ -131,7 +131,7 @@
 	if change.Removed {
 		delete(s.rows, change.Key)
 		if old != nil {
-			s.list.Answered(old.Fingerprint)
+			s.list.RecordAnswer(old.Fingerprint)
 			s.log.Info().Str("fingerprint", old.String()).Int64("row", change.Version).Msg("request is no longer suspect")
 		}
 		return true
@@ -160,7 +160,7 @@
 	s.rows[row.Key] = next
 	s.list.Restore(next.Case)
 	now, _ := s.list.Find(next.Fingerprint)
-	s.log.Warn().Str("fingerprint", next.String()).Bool("kept_back", now.KeptBack()).Int("trials", next.Trials).Int64("row", row.Version).
+	s.log.Warn().Str("fingerprint", next.String()).Bool("kept_back", now.Restricted()).Int("trials", next.Trials).Int64("row", row.Version).
 		Strs("targets", targetsOf(next.Case)).Msg("request is suspect on all VMs")
 }
 
@@ -177,13 +177,13 @@
 func (s *suspects) Report(f quarantine.Fingerprint, d quarantine.Death) bool {
 	suspect := s.reports.Report(f, d)
 	c, ok := s.list.Find(f)
-	if !ok || !c.Known() {
+	if !ok || !c.MustBeShared() {
 		return suspect
 	}
 	s.mu.Lock()
 	s.sawDeath[suspectKey(f)] = true
 	s.mu.Unlock()
-	if c.KeptBack() { // most other suspects are soon answered, so their rows can wait
+	if c.Restricted() { // most other suspects are soon answered, so their rows can wait
 		s.wake()
 	}
 	return suspect
@@ -279,7 +279,7 @@
 		}
 		s.lastHeartbeat[p.ID] = p.Seen
 		for _, c := range p.Suspects {
-			s.reports.TakeIn(c, p.ID)
+			s.reports.Merge(c, p.ID)
 		}
 	}
 }
@@ -307,7 +307,7 @@
 
 // isOutdated reports whether the row lacks a death or the conviction of the case that this VM knows.
 func (r *suspectRow) isOutdated(c *quarantine.Case) bool {
-	return len(c.Deaths) > len(r.Deaths) || (c.Convicted && !r.Convicted)
+	return len(c.Deaths) > len(r.Deaths) || (c.Confirmed && !r.Confirmed)
 }
 
 // missingRows returns the cases whose rows this VM must write now, each with the version of the row
--- a/pkg/edge/suspects_test.go
+++ b/pkg/edge/suspects_test.go
@@ -103,7 +103,7 @@
 			t.Errorf("row %s is not recognized as a suspect's row", row.Key)
 		}
 	}
-	if j := after.list.Judge(poison.Base, []byte("poison")); !j.Quarantined {
+	if j := after.list.Assess(poison.Base, []byte("poison")); !j.Quarantined {
 		t.Errorf("after the restart: %+v", j)
 	}
 }
@@ -120,12 +120,12 @@
 	for _, row := range store.all() {
 		after.apply(row)
 	}
-	j := after.list.Judge(poison.Base, []byte("poison"))
-	if j.KeptBack() || j.Deaths != 2 {
+	j := after.list.Assess(poison.Base, []byte("poison"))
+	if j.Restricted() || j.Deaths != 2 {
 		t.Fatalf("after the restart: %+v", j)
 	}
 	after.Report(poison, quarantine.Death{ID: "c@1", Target: "c", Prior: j.Deaths})
-	if j := after.list.Judge(poison.Base, []byte("poison")); !j.Quarantined {
+	if j := after.list.Assess(poison.Base, []byte("poison")); !j.Quarantined {
 		t.Errorf("after the third death: %+v", j)
 	}
 }
@@ -143,7 +143,7 @@
 	for _, row := range store.all() {
 		after.apply(row)
 	}
-	if j := after.list.Judge(poison.Base, []byte("poison")); j.Deaths != 3 || !j.KeptBack() {
+	if j := after.list.Assess(poison.Base, []byte("poison")); j.Deaths != 3 || !j.Restricted() {
 		t.Errorf("after the restart: %+v", j)
 	}
 	if writes := store.writes; writes != 2 {
@@ -239,7 +239,7 @@
 	one.syncOnce(t)
 	rows := store.all()
 	other.apply(rows[0])
-	one.list.Answered(poison)
+	one.list.RecordAnswer(poison)
 	one.Acquit(poison)
 	one.syncOnce(t)
 	if left := store.all(); len(left) != 0 {
@@ -247,7 +247,7 @@
 	}
 	rows[0].Removed = true
 	other.apply(rows[0])
-	if j := other.list.Judge(poison.Base, []byte("poison")); j != (quarantine.Judgement{}) {
+	if j := other.list.Assess(poison.Base, []byte("poison")); j != (quarantine.Assessment{}) {
 		t.Errorf("the other VM still judges the request as %+v", j)
 	}
 }
@@ -258,7 +258,7 @@
 	store, c := &fakeStore{rows: map[string]platform.Row{}}, clock.NewFake(1)
 	s := newTestSuspects(store, c)
 	for _, d := range []quarantine.Death{{ID: "a@1", Target: "a"}, {ID: "b@1", Target: "b", Prior: 1}} {
-		s.reports.TakeIn(quarantine.Case{Fingerprint: poison, Deaths: []quarantine.Death{d}}, "vm-2")
+		s.reports.Merge(quarantine.Case{Fingerprint: poison, Deaths: []quarantine.Death{d}}, "vm-2")
 	}
 	s.syncOnce(t)
 	if store.writes != 0 {
--- a/pkg/entry/poison.go
+++ b/pkg/entry/poison.go
@@ -34,7 +34,7 @@
 	if !known {
 		return nil
 	}
-	j := s.quarantine.Judge(base, c.body.peek(min(n, replayBytes)))
+	j := s.quarantine.Assess(base, c.body.peek(min(n, replayBytes)))
 	c.prior = j.Deaths
 	if !j.Quarantined {
 		return nil
--- a/pkg/entry/poison_test.go
+++ b/pkg/entry/poison_test.go
@@ -59,7 +59,7 @@
 	poison := (&call{account: first.source.snapshot.Accounts["acme"], route: first.source.snapshot.Routes["lookup"],
 		r: httptest.NewRequest("PUT", "/lookup/poison", strings.NewReader("body"))}).base()
 	for i := 0; ; i++ {
-		if !second.quarantine.Empty() && second.quarantine.Judge(poison, []byte("body")).Quarantined {
+		if !second.quarantine.Empty() && second.quarantine.Assess(poison, []byte("body")).Quarantined {
 			break
 		}
 		if i == 10_000 {
--- a/pkg/ingress/call.go
+++ b/pkg/ingress/call.go
@@ -88,7 +88,7 @@
 	// charged retries were taken from the retry budget; free retries followed an attempt that did
 	// not reach its target.
 	charged, free int
-	decision      *retry.PoolUse // nil if the budget was not asked
+	decision      *retry.TakeResult // nil if the budget was not asked
 }
 
 // answer is the response that the caller gets.
--- a/pkg/ingress/fakes_test.go
+++ b/pkg/ingress/fakes_test.go
@@ -90,11 +90,11 @@
 }
 
 func (f *fakeSuspects) Report(p quarantine.Fingerprint, d quarantine.Death) bool {
-	return f.list.Note(p, d)
+	return f.list.RecordDeath(p, d)
 }
 func (f *fakeSuspects) Acquit(quarantine.Fingerprint) {}
 func (f *fakeSuspects) Try(_ context.Context, p quarantine.Fingerprint) bool {
-	f.list.Tried(p, int(f.tried.Add(1)))
+	f.list.RecordTrials(p, int(f.tried.Add(1)))
 	return true
 }
 
--- a/pkg/ingress/poison.go
+++ b/pkg/ingress/poison.go
@@ -74,16 +74,16 @@
 }
 
 // judgement checks the request against the quarantine list.
-func (c *call) judgement() quarantine.Judgement {
+func (c *call) judgement() quarantine.Assessment {
 	list := c.s.cfg.Quarantine
 	if list.Empty() {
-		return quarantine.Judgement{}
+		return quarantine.Assessment{}
 	}
 	prefix := c.body
 	if c.stream != nil {
 		prefix = c.streamHead
 	}
-	j := list.Judge(c.base(), prefix)
+	j := list.Assess(c.base(), prefix)
 	c.priorDeaths = j.Deaths
 	return j
 }
@@ -173,7 +173,7 @@
 		return
 	}
 	f := c.fingerprint()
-	if c.s.cfg.Quarantine.Answered(f) {
+	if c.s.cfg.Quarantine.RecordAnswer(f) {
 		c.s.cfg.Log.Info().Str("request", c.info.ID).Stringer("fingerprint", f).Bool("trial", c.trial).Msg("target answered a suspect request")
 		c.s.cfg.Suspects.Acquit(f)
 	}
--- a/pkg/limit/home.go
+++ b/pkg/limit/home.go
@@ -25,8 +25,8 @@
 func (s *Service) home(account string) (member.Peer, bool) {
 	view := s.cfg.Members.View()
 	preferred := ""
-	if s.cfg.Near != nil {
-		preferred = s.cfg.Near(account)
+	if s.cfg.PreferredRegion != nil {
+		preferred = s.cfg.PreferredRegion(account)
 	}
 	home, found := member.Peer{}, false
 	var bestScore uint64
--- a/pkg/limit/service.go
+++ b/pkg/limit/service.go
@@ -45,12 +45,12 @@
 	// Name distinguishes several services of one VM in counter names and in the path of the peer
 	// protocol.
 	Name string
-	// Eager makes VMs request the token of the next request in advance from a distant home. It
+	// Prefetch makes VMs request the token of the next request in advance from a distant home. It
 	// suits limits so small that each request takes a token from the home.
-	Eager bool
-	// Near returns the region whose VMs are preferred as an account's home, or "" for none. If Near
+	Prefetch bool
+	// PreferredRegion returns the region whose VMs are preferred as an account's home, or "" for none. If Near
 	// is nil, no region is preferred.
-	Near func(account string) string
+	PreferredRegion func(account string) string
 	// StartTokens returns how many tokens the fleet may admit beyond an account's limit when all
 	// its VMs restart; each VM starts with its part of them. Nil means none: buckets start empty,
 	// since an earlier process may have spent the tokens.
@@ -135,12 +135,12 @@
 
 // Admit counts one request of the account.
 func (s *Service) Admit(ctx context.Context, name string) Decision {
-	return s.AdmitSparing(ctx, name, 0)
+	return s.AdmitWithReserve(ctx, name, 0)
 }
 
-// AdmitSparing counts one request of the account. It leaves a reserve to more urgent requests, a
+// AdmitWithReserve counts one request of the account. It leaves a reserve to more urgent requests, a
 // fraction from 0 to 1 of the bucket's capacity.
-func (s *Service) AdmitSparing(ctx context.Context, name string, reserve float64) Decision {
+func (s *Service) AdmitWithReserve(ctx context.Context, name string, reserve float64) Decision {
 	a, c := s.account(name)
 	if a == nil {
 		s.refused.Inc(1)
@@ -163,7 +163,7 @@
 	}
 }
 
-// AdmitLocally is AdmitSparing without requesting tokens from a peer.
+// AdmitLocally is AdmitWithReserve without requesting tokens from a peer.
 func (s *Service) AdmitLocally(name string, reserve float64) Decision {
 	a, c := s.account(name)
 	if a == nil {
@@ -228,7 +228,7 @@
 		return a
 	}
 	a := &account{budget: newBudget(name, func() uint64 { return s.ids.Add(1) })}
-	a.budget.prefetch = s.cfg.Eager
+	a.budget.prefetch = s.cfg.Prefetch
 	next := make(map[string]*account, len(old)+1)
 	for k, v := range old {
 		next[k] = v
--- a/pkg/limit/service_test.go
+++ b/pkg/limit/service_test.go
@@ -262,7 +262,7 @@
 	src := &sources{}
 	src.view.Store(view)
 	preferred := ""
-	s := NewService(Config{Config: src, Slots: src, Members: src, Clock: clock.System{}, Near: func(string) string { return preferred }})
+	s := NewService(Config{Config: src, Slots: src, Members: src, Clock: clock.System{}, PreferredRegion: func(string) string { return preferred }})
 	anywhere := map[string]bool{}
 	for i := range 50 {
 		name := fmt.Sprint("account-", i)
--- a/pkg/limit/settle.go
+++ b/pkg/limit/settle.go
@@ -73,10 +73,10 @@
 	return false
 }
 
-// AwaitSettled waits until no VM can use what an earlier incarnation of this one lent: each VM has
+// AwaitLoansEnded waits until no VM can use what an earlier incarnation of this one lent: each VM has
 // confirmed it, or no process runs at its address. It returns false if that takes as long as the
 // longest loan.
-func (s *Service) AwaitSettled(ctx context.Context, vms []storage.VM) bool {
+func (s *Service) AwaitLoansEnded(ctx context.Context, vms []storage.VM) bool {
 	ctx, cancel := context.WithTimeout(ctx, loanDrainTime)
 	defer cancel()
 	self := s.cfg.Members.View().Self
--- a/pkg/limit/settle_test.go
+++ b/pkg/limit/settle_test.go
@@ -37,7 +37,7 @@
 func TestMassRestartSettlesAtOnce(t *testing.T) {
 	services, all, _ := startFleet(t, 4, accounts(accountOf10))
 	for _, s := range services {
-		if !s.AwaitSettled(t.Context(), registered(all)) {
+		if !s.AwaitLoansEnded(t.Context(), registered(all)) {
 			t.Error("a VM waited for loans that no VM holds")
 		}
 	}
@@ -51,7 +51,7 @@
 	if !services[0].mayHoldLoan("vm-1", "vm-1/1") {
 		t.Error("a loan of the earlier process was not found")
 	}
-	if !services[1].AwaitSettled(t.Context(), registered(all)) {
+	if !services[1].AwaitLoansEnded(t.Context(), registered(all)) {
 		t.Error("the wait failed though the loan has ended")
 	}
 	if waited := time.Since(lent); waited < loanTime-2*loanTime/driftDivisor {
@@ -90,13 +90,13 @@
 	}
 	dead := storage.VM{ID: "vm-9", PeerAddress: l.Addr().String()}
 	l.Close()
-	if !services[0].AwaitSettled(t.Context(), append(registered(all), dead)) {
+	if !services[0].AwaitLoansEnded(t.Context(), append(registered(all), dead)) {
 		t.Error("waited for a VM at whose address no process runs")
 	}
 	faults[1].frozen.Store(true)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	if services[0].AwaitSettled(ctx, registered(all)) {
+	if services[0].AwaitLoansEnded(ctx, registered(all)) {
 		t.Error("did not wait for a silent VM, which may hold a loan")
 	}
 }
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -82,16 +82,16 @@
 	Deaths []Death
 	// Trials is how many trials of the request were sent.
 	Trials int
-	Judgement
+	Assessment
 }
 
-// Judgement is what the known deaths mean for a request.
-type Judgement struct {
+// Assessment is what the known deaths mean for a request.
+type Assessment struct {
 	// Deaths is how many target deaths count against the request.
 	Deaths int
-	// Convicted reports that the deaths are enough to quarantine the request, even if it is not
+	// Confirmed reports that the deaths are enough to quarantine the request, even if it is not
 	// quarantined at present because a trial is due.
-	Convicted bool
+	Confirmed bool
 	// Quarantined reports that the request must not be sent.
 	Quarantined bool
 	// Probation reports that the request may be sent only as a trial.
@@ -207,8 +207,8 @@
 	return n, known
 }
 
-// Judge returns what is known of a request whose body begins with prefix.
-func (l *List) Judge(b Base, prefix []byte) Judgement {
+// Assess returns what is known of a request whose body begins with prefix.
+func (l *List) Assess(b Base, prefix []byte) Assessment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state.assess(b, prefix, l.config.Clock.Now(), &l.config)
@@ -221,17 +221,17 @@
 	l.state.clear(func(v *suspect) bool { return v.fingerprint.Base == b && v.matches(prefix) }, b)
 }
 
-// Answered records that a target answered a request. It reports whether the request was suspect.
-func (l *List) Answered(f Fingerprint) bool {
+// RecordAnswer records that a target answered a request. It reports whether the request was suspect.
+func (l *List) RecordAnswer(f Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state.answered.add(f.short(), l.config.Clock.Now())
 	return l.state.clear(func(v *suspect) bool { return v.fingerprint == f }, f.Base)
 }
 
-// Note records that a target died while it ran the request. It reports whether the death is new and
+// RecordDeath records that a target died while it ran the request. It reports whether the death is new and
 // makes the request suspect.
-func (l *List) Note(f Fingerprint, d Death) bool {
+func (l *List) RecordDeath(f Fingerprint, d Death) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.config.Clock.Now()
@@ -253,7 +253,7 @@
 	if v := l.state.find(f); v != nil {
 		c = l.state.describe(v, l.config.Clock.Now(), &l.config)
 	}
-	return c, c.Judgement.Deaths > 0
+	return c, c.Assessment.Deaths > 0
 }
 
 // Restore adds a case that was stored outside the process; its deaths count from now. A request
@@ -268,14 +268,14 @@
 		l.state.note(c.Fingerprint, d, now, l.config.Memory)
 	}
 	if v := l.state.find(c.Fingerprint); v != nil && !v.cleared() {
-		v.confirmed = v.confirmed || c.Convicted || c.Trials > 0
+		v.confirmed = v.confirmed || c.Confirmed || c.Trials > 0
 		v.recordTrials(c.Trials, now)
 	}
 }
 
-// Tried records the total number of trials of a request. If it exceeds the known number, the last
+// RecordTrials records the total number of trials of a request. If it exceeds the known number, the last
 // trial counts from now.
-func (l *List) Tried(f Fingerprint, trials int) {
+func (l *List) RecordTrials(f Fingerprint, trials int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if v := l.state.find(f); v != nil {
@@ -283,11 +283,11 @@
 	}
 }
 
-// KeptBack reports whether the request is quarantined or on probation.
-func (j Judgement) KeptBack() bool { return j.Quarantined || j.Probation }
+// Restricted reports whether the request is quarantined or on probation.
+func (j Assessment) Restricted() bool { return j.Quarantined || j.Probation }
 
-// Known reports whether all VMs and later processes must know of the case.
-func (c *Case) Known() bool { return c.KeptBack() || len(c.Deaths) >= sharedDeaths }
+// MustBeShared reports whether all VMs and later processes must know of the case.
+func (c *Case) MustBeShared() bool { return c.Restricted() || len(c.Deaths) >= sharedDeaths }
 
 // Cases returns the cases that all VMs must know of and those whose latest death is younger than
 // maxAge, sorted by the latest death, the most recent first.
@@ -301,7 +301,7 @@
 	var out []Case
 	for _, variants := range l.state.suspects.Values() {
 		for _, v := range variants {
-			if c := l.state.describe(v, now, &l.config); len(c.Deaths) > 0 && (c.Known() || c.age() < maxAge) {
+			if c := l.state.describe(v, now, &l.config); len(c.Deaths) > 0 && (c.MustBeShared() || c.age() < maxAge) {
 				out = append(out, c)
 			}
 		}
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -29,12 +29,12 @@
 func (f *fleet) dies(target string, prior map[int]int) {
 	f.deaths++
 	for i, n := range prior {
-		f.list.Note(NewFingerprint(base(i), nil), Death{ID: fmt.Sprintf("%s@%d", target, f.deaths), Target: target, Prior: n})
+		f.list.RecordDeath(NewFingerprint(base(i), nil), Death{ID: fmt.Sprintf("%s@%d", target, f.deaths), Target: target, Prior: n})
 	}
 	f.clock.Advance(100 * time.Millisecond)
 }
 
-func (f *fleet) quarantined(i int) bool { return f.list.Judge(base(i), nil).Quarantined }
+func (f *fleet) quarantined(i int) bool { return f.list.Assess(base(i), nil).Quarantined }
 
 func TestSecondDeathQuarantines(t *testing.T) {
 	f := newFleet()
@@ -57,7 +57,7 @@
 		t.Error("not quarantined after another death")
 	}
 	f.clock.Advance(defaultMemory + time.Second)
-	if j := f.list.Judge(base(1), nil); j.Deaths != 0 {
+	if j := f.list.Assess(base(1), nil); j.Deaths != 0 {
 		t.Errorf("remembered for ever: %+v", j)
 	}
 }
@@ -100,10 +100,10 @@
 	f := newFleet()
 	d := Death{ID: "t1@1", Target: "t1"}
 	print := NewFingerprint(base(1), []byte("body"))
-	if !f.list.Note(print, d) || f.list.Note(print, d) {
+	if !f.list.RecordDeath(print, d) || f.list.RecordDeath(print, d) {
 		t.Error("one death counted twice")
 	}
-	if j := f.list.Judge(base(1), []byte("body")); j.Deaths != 1 || j.Quarantined {
+	if j := f.list.Assess(base(1), []byte("body")); j.Deaths != 1 || j.Quarantined {
 		t.Errorf("got %+v", j)
 	}
 }
@@ -115,7 +115,7 @@
 	for _, deaths := range [][]Death{{first, second}, {second, first}, {second}} {
 		f := newFleet()
 		for _, d := range deaths {
-			f.list.Note(NewFingerprint(base(1), nil), d)
+			f.list.RecordDeath(NewFingerprint(base(1), nil), d)
 		}
 		if !f.quarantined(1) {
 			t.Errorf("%+v: not quarantined", deaths)
@@ -126,16 +126,16 @@
 func TestBodyDistinguishesRequests(t *testing.T) {
 	f := newFleet()
 	for i := range 2 {
-		f.list.Note(NewFingerprint(base(1), []byte("poison")), Death{ID: fmt.Sprint(i), Target: fmt.Sprint(i), Prior: i})
+		f.list.RecordDeath(NewFingerprint(base(1), []byte("poison")), Death{ID: fmt.Sprint(i), Target: fmt.Sprint(i), Prior: i})
 	}
 	if n, known := f.list.Prefix(base(1)); n != 6 || !known {
 		t.Errorf("prefix %d %v", n, known)
 	}
-	if !f.list.Judge(base(1), []byte("poison and more")).Quarantined {
+	if !f.list.Assess(base(1), []byte("poison and more")).Quarantined {
 		t.Error("a body with the same prefix is not quarantined")
 	}
 	for _, body := range []string{"", "pois", "harmless"} {
-		if j := f.list.Judge(base(1), []byte(body)); j.Deaths != 0 {
+		if j := f.list.Assess(base(1), []byte(body)); j.Deaths != 0 {
 			t.Errorf("%q: %+v", body, j)
 		}
 	}
@@ -148,7 +148,7 @@
 		for i := range rapid.IntRange(0, 300).Draw(t, "deaths") {
 			b := base(rapid.IntRange(0, 9).Draw(t, "base"))
 			body := []byte{byte(rapid.IntRange(0, 20).Draw(t, "body"))}
-			f.list.Note(NewFingerprint(b, body), Death{ID: fmt.Sprint(i), Target: "t"})
+			f.list.RecordDeath(NewFingerprint(b, body), Death{ID: fmt.Sprint(i), Target: "t"})
 		}
 		s := f.list.state
 		if s.suspects.Len() > 4 || len(s.events) > maxEvents {
@@ -181,7 +181,7 @@
 	f := newFleet()
 	const popular, crashing = 1, 2
 	for i := range 4 {
-		f.dies(fmt.Sprintf("t%d", i), map[int]int{popular: f.list.Judge(base(popular), nil).Deaths, crashing: min(i, 1)})
+		f.dies(fmt.Sprintf("t%d", i), map[int]int{popular: f.list.Assess(base(popular), nil).Deaths, crashing: min(i, 1)})
 		f.list.Clear(base(popular), nil)
 	}
 	if f.quarantined(popular) || !f.quarantined(crashing) {
@@ -204,11 +204,11 @@
 		f.dies(fmt.Sprintf("t%d", i), map[int]int{1: min(i, 1), 10: 0, 11: min(i, 1)})
 		f.dies(fmt.Sprintf("other%d", i), map[int]int{20 + i: 0})
 	}
-	if j := f.list.Judge(base(1), nil); !j.Probation && !j.Quarantined {
+	if j := f.list.Assess(base(1), nil); !j.Probation && !j.Quarantined {
 		t.Errorf("got %+v", j)
 	}
 	for i := range 3 {
-		if j := f.list.Judge(base(20+i), nil); j.Probation || j.Quarantined {
+		if j := f.list.Assess(base(20+i), nil); j.Probation || j.Quarantined {
 			t.Errorf("request %d, one death: %+v", 20+i, j)
 		}
 	}
@@ -221,25 +221,25 @@
 	f.dies("t2", map[int]int{1: 1})
 	p := NewFingerprint(base(1), nil)
 	for trial, hold := range []time.Duration{10 * time.Second, time.Minute} {
-		if j := f.list.Judge(base(1), nil); !j.Quarantined || j.RetryAfter > hold {
+		if j := f.list.Assess(base(1), nil); !j.Quarantined || j.RetryAfter > hold {
 			t.Fatalf("before trial %d: %+v", trial+1, j)
 		}
 		f.clock.Advance(hold)
-		if j := f.list.Judge(base(1), nil); j.Quarantined || !j.Probation {
+		if j := f.list.Assess(base(1), nil); j.Quarantined || !j.Probation {
 			t.Fatalf("%v later: %+v", hold, j)
 		}
-		f.list.Tried(p, trial+1)
-		if j := f.list.Judge(base(1), nil); !j.Quarantined {
+		f.list.RecordTrials(p, trial+1)
+		if j := f.list.Assess(base(1), nil); !j.Quarantined {
 			t.Fatalf("while trial %d runs: %+v", trial+1, j)
 		}
 		f.dies(fmt.Sprint("t", 3+trial), map[int]int{1: 2 + trial})
 	}
 	f.clock.Advance(20 * time.Minute)
-	if j := f.list.Judge(base(1), nil); !j.Quarantined || j.Probation {
+	if j := f.list.Assess(base(1), nil); !j.Quarantined || j.Probation {
 		t.Errorf("after the last trial: %+v", j)
 	}
 	f.clock.Advance(defaultMemory)
-	if j := f.list.Judge(base(1), nil); j.Deaths != 0 {
+	if j := f.list.Assess(base(1), nil); j.Deaths != 0 {
 		t.Errorf("remembered for ever: %+v", j)
 	}
 }
@@ -255,19 +255,19 @@
 	if !ok || !c.Quarantined || len(c.Deaths) != 2 || len(f.list.Cases(0)) != 1 {
 		t.Fatalf("%+v", c)
 	}
-	if !f.list.Answered(p) || f.list.Answered(p) {
+	if !f.list.RecordAnswer(p) || f.list.RecordAnswer(p) {
 		t.Error("want the first answer, and only it, to report a suspect")
 	}
 	for _, d := range c.Deaths {
-		f.list.Note(p, d)
+		f.list.RecordDeath(p, d)
 	}
 	f.list.Restore(c)
-	if j := f.list.Judge(base(1), nil); j != (Judgement{}) {
+	if j := f.list.Assess(base(1), nil); j != (Assessment{}) {
 		t.Errorf("got %+v", j)
 	}
 	other := withTrials()
 	other.list.Restore(c)
-	if j := other.list.Judge(base(1), nil); !j.Quarantined {
+	if j := other.list.Assess(base(1), nil); !j.Quarantined {
 		t.Errorf("another process: %+v", j)
 	}
 }
@@ -276,19 +276,19 @@
 func TestAnAnswerExcusesOneDeath(t *testing.T) {
 	f := withTrials()
 	p := NewFingerprint(base(1), nil)
-	f.list.Answered(p)
-	if f.list.Note(p, Death{ID: "t1@1", Target: "t1"}) {
+	f.list.RecordAnswer(p)
+	if f.list.RecordDeath(p, Death{ID: "t1@1", Target: "t1"}) {
 		t.Error("the first death after an answer made it suspect")
 	}
-	if f.list.Note(p, Death{ID: "t1@1", Target: "t1"}) {
+	if f.list.RecordDeath(p, Death{ID: "t1@1", Target: "t1"}) {
 		t.Error("a repeated report made it suspect")
 	}
-	if !f.list.Note(p, Death{ID: "t2@1", Target: "t2"}) {
+	if !f.list.RecordDeath(p, Death{ID: "t2@1", Target: "t2"}) {
 		t.Error("the second death did not make it suspect")
 	}
-	f.list.Answered(p)
+	f.list.RecordAnswer(p)
 	f.clock.Advance(3 * answeredPeriod)
-	if !f.list.Note(p, Death{ID: "t3@1", Target: "t3"}) {
+	if !f.list.RecordDeath(p, Death{ID: "t3@1", Target: "t3"}) {
 		t.Error("an expired answer excused a death")
 	}
 }
@@ -300,7 +300,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		body[0], body[1] = byte(i), byte(i>>8)
-		l.Answered(NewFingerprint(base(1), body))
+		l.RecordAnswer(NewFingerprint(base(1), body))
 	}
 }
 
@@ -309,7 +309,7 @@
 func BenchmarkCases(b *testing.B) {
 	l := NewList(Config{MaxTrials: 2, Size: 256})
 	for i := range 256 {
-		l.Note(NewFingerprint(base(i), nil), Death{ID: fmt.Sprint(i), Target: fmt.Sprint(i % 30)})
+		l.RecordDeath(NewFingerprint(base(i), nil), Death{ID: fmt.Sprint(i), Target: fmt.Sprint(i % 30)})
 	}
 	b.ReportAllocs()
 	for range b.N {
@@ -321,10 +321,10 @@
 func BenchmarkJudge(b *testing.B) {
 	l := NewList(Config{MaxTrials: 2})
 	for i := range 64 {
-		l.Note(NewFingerprint(base(i), nil), Death{ID: fmt.Sprint(i), Target: fmt.Sprint(i)})
+		l.RecordDeath(NewFingerprint(base(i), nil), Death{ID: fmt.Sprint(i), Target: fmt.Sprint(i)})
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		l.Judge(base(i%128), nil)
+		l.Assess(base(i%128), nil)
 	}
 }
--- a/pkg/quarantine/state.go
+++ b/pkg/quarantine/state.go
@@ -92,8 +92,8 @@
 
 // assess combines what is known of all suspects that match the request, and returns the most severe
 // values.
-func (s *state) assess(b Base, prefix []byte, now clock.Time, c *Config) Judgement {
-	var worst Judgement
+func (s *state) assess(b Base, prefix []byte, now clock.Time, c *Config) Assessment {
+	var worst Assessment
 	for _, v := range s.variants(b) {
 		if !v.matches(prefix) {
 			continue
@@ -102,7 +102,7 @@
 		worst.Deaths = max(worst.Deaths, j.Deaths)
 		worst.Quarantined = worst.Quarantined || j.Quarantined
 		worst.Probation = worst.Probation || j.Probation
-		worst.Convicted = worst.Convicted || j.Convicted
+		worst.Confirmed = worst.Confirmed || j.Confirmed
 		worst.RetryAfter = max(worst.RetryAfter, j.RetryAfter)
 	}
 	return worst
@@ -128,9 +128,9 @@
 	return found
 }
 
-func (s *state) assessSuspect(v *suspect, now clock.Time, c *Config) Judgement {
+func (s *state) assessSuspect(v *suspect, now clock.Time, c *Config) Assessment {
 	var last clock.Time
-	j := Judgement{}
+	j := Assessment{}
 	for _, d := range v.deaths {
 		if !d.cleared {
 			j.Deaths++
@@ -138,10 +138,10 @@
 		}
 	}
 	if j.Deaths == 0 || now.Sub(last) > c.Memory {
-		return Judgement{}
+		return Assessment{}
 	}
-	j.Convicted = s.confirms(v, last)
-	trialRequired := c.MaxTrials > 0 && (j.Convicted || v.targets() >= probationDeaths)
+	j.Confirmed = s.confirms(v, last)
+	trialRequired := c.MaxTrials > 0 && (j.Confirmed || v.targets() >= probationDeaths)
 	duration := c.Duration
 	if v.trials > 0 {
 		last = max(last, v.lastTrial)
@@ -154,7 +154,7 @@
 	}
 	left := last.Add(duration).Sub(now)
 	switch {
-	case left > 0 && (j.Convicted || (trialRequired && v.trials > 0)):
+	case left > 0 && (j.Confirmed || (trialRequired && v.trials > 0)):
 		j.Quarantined, j.RetryAfter = true, left
 	case trialRequired:
 		j.Probation = true
@@ -173,8 +173,8 @@
 
 // describe returns the case of a suspect.
 func (s *state) describe(v *suspect, now clock.Time, c *Config) Case {
-	out := Case{Fingerprint: v.fingerprint, Trials: v.trials, Judgement: s.assessSuspect(v, now, c)}
-	if out.Judgement.Deaths == 0 { // cleared or expired
+	out := Case{Fingerprint: v.fingerprint, Trials: v.trials, Assessment: s.assessSuspect(v, now, c)}
+	if out.Assessment.Deaths == 0 { // cleared or expired
 		return out
 	}
 	for _, d := range v.deaths {
--- a/pkg/retry/pools.go
+++ b/pkg/retry/pools.go
@@ -51,8 +51,8 @@
 	p.earn(earnedOfRatio*l.Ratio, l)
 }
 
-// PoolUse is the result of Take with the values that it is based on.
-type PoolUse struct {
+// TakeResult is the result of Take with the values that it is based on.
+type TakeResult struct {
 	// Granted reports that the retry may be sent.
 	Granted bool
 	// Available is how many retries this VM had left before Take, and Capacity how many it can
@@ -65,11 +65,11 @@
 }
 
 // Take takes one retry from the pool's budget if one is left.
-func (b *PoolBudget) Take(pool string, l PoolLimit, now clock.Time) PoolUse {
+func (b *PoolBudget) Take(pool string, l PoolLimit, now clock.Time) TakeResult {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.bucketAt(pool, l, now)
-	use := PoolUse{Granted: p.tokens >= 1, Available: p.tokens, Capacity: p.capacity(l), Requests: p.recent.sum, VMs: l.VMs}
+	use := TakeResult{Granted: p.tokens >= 1, Available: p.tokens, Capacity: p.capacity(l), Requests: p.recent.sum, VMs: l.VMs}
 	if use.Granted {
 		p.tokens--
 	}
