--- a/pkg/daemon/run.go
+++ b/pkg/daemon/run.go
@@ -82,7 +82,7 @@
 		return false
 	}
 	for _, p := range view.Peers {
-		if p.Seen == 0 {
+		if p.StateProbedAt == 0 {
 			return false
 		}
 	}
--- a/pkg/dispatch/capacity.go
+++ b/pkg/dispatch/capacity.go
@@ -90,10 +90,10 @@
 
 // allowed returns how many requests may run on the backend now.
 func (b *backend) allowed(now clock.Time, believeDown bool) int {
-	if b.drained || b.health.Draining(now) || believeDown && b.health.Down(now) {
+	if b.drained || b.health.ReportedDraining(now) || believeDown && b.health.ReportedDown(now) {
 		return 0
 	}
-	held := b.health.Reported(now, b.held, permit.Limit(b.Target))
+	held := b.health.ReportedLimit(now, b.held, permit.Limit(b.Target))
 	return b.health.Allowed(now, held, b.running)
 }
 
--- a/pkg/dispatch/permits_test.go
+++ b/pkg/dispatch/permits_test.go
@@ -24,7 +24,7 @@
 func (p *pool) warm() {
 	for _, b := range p.local {
 		for range 1000 {
-			b.health.Done(0, health.Sample{Kind: health.Good, Latency: time.Millisecond, Running: b.Slots})
+			b.health.RecordOutcome(0, health.Sample{Kind: health.Good, Latency: time.Millisecond, Running: b.Slots})
 		}
 	}
 }
--- a/pkg/dispatch/poll.go
+++ b/pkg/dispatch/poll.go
@@ -76,7 +76,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b.health.Observe(s.config.Clock.Now(), r)
+	b.health.ApplyReport(s.config.Clock.Now(), r)
 }
 
 // report asks the target for its load and its health.
--- a/pkg/dispatch/release.go
+++ b/pkg/dispatch/release.go
@@ -26,7 +26,7 @@
 	running := l.backend.running
 	l.backend.put(l.slot)
 	kind := classify(in.now, l.request, res)
-	l.backend.health.Done(in.now, health.Sample{
+	l.backend.health.RecordOutcome(in.now, health.Sample{
 		Kind: kind, Latency: p.comparable(l.request.Route.Name, res.Latency), Running: running,
 		PoolLatency: time.Duration(p.latency),
 	})
--- a/pkg/dispatch/sim_test.go
+++ b/pkg/dispatch/sim_test.go
@@ -267,7 +267,7 @@
 	}
 	for _, b := range vm.pool.local {
 		if t := s.targets[b.ID]; !t.dead {
-			b.health.Observe(s.now, s.report(t))
+			b.health.ApplyReport(s.now, s.report(t))
 		}
 	}
 }
--- a/pkg/dispatch/status.go
+++ b/pkg/dispatch/status.go
@@ -84,8 +84,8 @@
 		t := TargetStatus{
 			ID: b.ID, Permits: b.held, Limit: b.allowed(in.now, p.believing), Running: b.running,
 			Connections: permit.Connections(b.Target, b.held),
-			Draining:    b.drained || b.health.Draining(in.now),
-			Ejected:     b.health.Ejected(), Down: b.health.Down(in.now),
+			Draining:    b.drained || b.health.ReportedDraining(in.now),
+			Ejected:     b.health.Ejected(), Down: b.health.ReportedDown(in.now),
 			LatencyMicros: b.health.Latency().Microseconds(),
 		}
 		status.Permits += t.Permits
--- a/pkg/dispatch/waiting.go
+++ b/pkg/dispatch/waiting.go
@@ -146,18 +146,18 @@
 func (p *pool) believeDown(now clock.Time) bool {
 	down := 0
 	for _, b := range p.local {
-		if b.health.Down(now) {
+		if b.health.ReportedDown(now) {
 			down++
 		}
 	}
-	return health.Believe(down, len(p.local))
+	return health.TrustDownReports(down, len(p.local))
 }
 
 // stranded reports whether no target here will take a request before lease
 // slots, drains or the targets' own drains change.
 func (p *pool) stranded(now clock.Time) bool {
 	for _, b := range p.local {
-		if b.held > 0 && !b.drained && !b.health.Draining(now) {
+		if b.held > 0 && !b.drained && !b.health.ReportedDraining(now) {
 			return false
 		}
 	}
@@ -179,7 +179,7 @@
 // unreachable reports whether nothing can run here now for more than a moment.
 func (p *pool) unreachable(now clock.Time) bool {
 	for _, b := range p.local {
-		if b.held > 0 && !b.drained && !b.health.Draining(now) && !b.health.Ejected() {
+		if b.held > 0 && !b.drained && !b.health.ReportedDraining(now) && !b.health.Ejected() {
 			return false
 		}
 	}
--- a/pkg/edge/fleet.go
+++ b/pkg/edge/fleet.go
@@ -339,7 +339,7 @@
 func locate(v *member.View, region string) []string {
 	var near, far []string
 	consider := func(p *member.Peer) {
-		if p.State != member.Live || p.Missed > 0 || p.CallerAddress == "" {
+		if p.State != member.Live || p.MissedHeartbeats > 0 || p.CallerAddress == "" {
 			return
 		}
 		if p.Region == region {
--- a/pkg/edge/fleet_test.go
+++ b/pkg/edge/fleet_test.go
@@ -294,7 +294,7 @@
 
 func TestLocate(t *testing.T) {
 	peer := func(n int, region string, state member.State, missed int) member.Peer {
-		return member.Peer{ID: fmt.Sprint(n), Region: region, State: state, Missed: missed, CallerAddress: fmt.Sprint("vm-", n)}
+		return member.Peer{ID: fmt.Sprint(n), Region: region, State: state, MissedHeartbeats: missed, CallerAddress: fmt.Sprint("vm-", n)}
 	}
 	self := peer(0, "east", member.Live, 0)
 	leaving := peer(0, "east", member.Leaving, 0)
--- a/pkg/edge/suspects.go
+++ b/pkg/edge/suspects.go
@@ -274,10 +274,10 @@
 func (s *suspects) applyReported(view *member.View) {
 	for i := range view.Peers {
 		p := &view.Peers[i]
-		if len(p.Suspects) == 0 || s.lastHeartbeat[p.ID] == p.Seen {
+		if len(p.Suspects) == 0 || s.lastHeartbeat[p.ID] == p.StateProbedAt {
 			continue
 		}
-		s.lastHeartbeat[p.ID] = p.Seen
+		s.lastHeartbeat[p.ID] = p.StateProbedAt
 		for _, c := range p.Suspects {
 			s.reports.Merge(c, p.ID)
 		}
--- a/pkg/health/health_test.go
+++ b/pkg/health/health_test.go
@@ -14,7 +14,7 @@
 
 func recordGoodResponses(t *Tracker, now clock.Time, n int) {
 	for range n {
-		t.Done(now, Sample{Kind: Good, Latency: 10 * time.Millisecond, Running: held, PoolLatency: 10 * time.Millisecond})
+		t.RecordOutcome(now, Sample{Kind: Good, Latency: 10 * time.Millisecond, Running: held, PoolLatency: 10 * time.Millisecond})
 	}
 }
 
@@ -39,7 +39,7 @@
 	now := clock.Time(0)
 	for _, wait := range []time.Duration{ejectionBase, 2 * ejectionBase, 4 * ejectionBase} {
 		for range failuresToEject {
-			tr.Done(now, Sample{Kind: Broken})
+			tr.RecordOutcome(now, Sample{Kind: Broken})
 		}
 		if n := tr.Allowed(now.Add(wait-1), held, 0); n != 0 {
 			t.Fatalf("an ejected target may run %d requests before %v", n, wait)
@@ -62,7 +62,7 @@
 		now := clock.Time(time.Second)
 		for range 10 {
 			now = now.Add(decreaseInterval)
-			tr.Done(now, Sample{Kind: kind})
+			tr.RecordOutcome(now, Sample{Kind: kind})
 		}
 		if n := tr.Allowed(now.Add(shedPauseMax), held, 0); n != 1 {
 			t.Errorf("kind %d: limit %d after repeated overload, want 1", kind, n)
@@ -75,7 +75,7 @@
 	recordGoodResponses(&slow, 0, 20)
 	for i := range 20 {
 		now := clock.Time(0).Add(time.Duration(i) * decreaseInterval)
-		slow.Done(now, Sample{Kind: Good, Latency: time.Second, Running: held, PoolLatency: 10 * time.Millisecond})
+		slow.RecordOutcome(now, Sample{Kind: Good, Latency: time.Second, Running: held, PoolLatency: 10 * time.Millisecond})
 	}
 	if n := slow.Allowed(0, held, 0); n != 1 {
 		t.Errorf("a slow target may run %d requests, want 1", n)
@@ -89,15 +89,15 @@
 		var tr Tracker
 		slots := rapid.IntRange(1, 20).Draw(t, "slots")
 		held := rapid.IntRange(1, slots).Draw(t, "held")
-		tr.Observe(0, Report{
+		tr.ApplyReport(0, Report{
 			Running: rapid.IntRange(0, 1000).Draw(t, "running"), Slots: rapid.IntRange(0, 1000).Draw(t, "reported"),
 			State: rapid.SampledFrom([]State{StateOK, StateDraining, StateCold}).Draw(t, "state"),
 		})
 		now := clock.Time(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "age"))
-		if n := tr.Reported(now, held, slots); n < 1 || n > held {
+		if n := tr.ReportedLimit(now, held, slots); n < 1 || n > held {
 			t.Fatalf("the report allows %d of %d held permits", n, held)
 		}
-		if now.Sub(0) >= reportLifetime && (tr.Draining(now) || tr.Down(now) || tr.Reported(now, held, slots) != held) {
+		if now.Sub(0) >= reportLifetime && (tr.ReportedDraining(now) || tr.ReportedDown(now) || tr.ReportedLimit(now, held, slots) != held) {
 			t.Fatal("an expired report still has an effect")
 		}
 	})
@@ -108,7 +108,7 @@
 		down, targets int
 		want          bool
 	}{{0, 7, true}, {3, 7, true}, {4, 7, false}, {7, 7, false}, {1, 2, true}, {1, 1, false}} {
-		if got := Believe(tc.down, tc.targets); got != tc.want {
+		if got := TrustDownReports(tc.down, tc.targets); got != tc.want {
 			t.Errorf("%d of %d targets down: reports trusted = %v", tc.down, tc.targets, got)
 		}
 	}
--- a/pkg/health/report.go
+++ b/pkg/health/report.go
@@ -64,7 +64,7 @@
 }
 
 // ApplyReport records a report that was received at now.
-func (t *Tracker) Observe(now clock.Time, r Report) {
+func (t *Tracker) ApplyReport(now clock.Time, r Report) {
 	r.receivedAt, r.known, r.coldSince = now, true, now
 	if t.report.known && t.report.State == StateCold {
 		r.coldSince = t.report.coldSince
@@ -77,25 +77,25 @@
 	return t.report.known && now.Sub(t.report.receivedAt) < reportLifetime
 }
 
-// Draining reports whether the target reports that it is draining.
-func (t *Tracker) Draining(now clock.Time) bool {
+// ReportedDraining reports whether the target reports that it is draining.
+func (t *Tracker) ReportedDraining(now clock.Time) bool {
 	return t.hasFreshReport(now) && t.report.State == StateDraining
 }
 
 // ReportedDown reports whether the target's report says that it can run no requests.
 // TrustDownReports tells whether the pool should believe such reports.
-func (t *Tracker) Down(now clock.Time) bool {
+func (t *Tracker) ReportedDown(now clock.Time) bool {
 	return t.hasFreshReport(now) && (t.report.Unhealthy || t.report.Slots == 0)
 }
 
 // TrustDownReports returns whether to believe the targets that report to be down. It
 // returns false if more than half of the targets do: a fault of the reporting is then
 // more likely than a fault of the targets, and real failures still eject targets.
-func Believe(down, targets int) bool { return 2*down <= targets }
+func TrustDownReports(down, targets int) bool { return 2*down <= targets }
 
 // ReportedLimit returns how many requests a VM that holds the given number of permits
 // may run on a target with the given slots, according to the target's report.
-func (t *Tracker) Reported(now clock.Time, held, slots int) int {
+func (t *Tracker) ReportedLimit(now clock.Time, held, slots int) int {
 	if !t.hasFreshReport(now) || t.report.Slots == 0 || slots <= 0 {
 		return held
 	}
--- a/pkg/health/tracker.go
+++ b/pkg/health/tracker.go
@@ -115,7 +115,7 @@
 }
 
 // RecordOutcome records the outcome of a request.
-func (t *Tracker) Done(now clock.Time, s Sample) {
+func (t *Tracker) RecordOutcome(now clock.Time, s Sample) {
 	switch s.Kind {
 	case Good:
 		t.recordGood(now, s)
--- a/pkg/lease/manager_test.go
+++ b/pkg/lease/manager_test.go
@@ -206,7 +206,7 @@
 	for i, src := range f.views {
 		v := f.view(i)
 		for j := range v.Peers {
-			v.Peers[j].Seen = math.MaxInt64
+			v.Peers[j].StateProbedAt = math.MaxInt64
 		}
 		src.view.Store(v)
 	}
--- a/pkg/lease/state_test.go
+++ b/pkg/lease/state_test.go
@@ -72,7 +72,7 @@
 		for i := range v.view.Peers {
 			if v.view.Peers[i].ID == id {
 				v.view.Peers[i].State = state
-				v.view.Peers[i].Seen = v.clock.Now() + 1
+				v.view.Peers[i].StateProbedAt = v.clock.Now() + 1
 			}
 		}
 	}
@@ -332,7 +332,7 @@
 	holder, observer := c.vms[0], c.vms[1]
 	c.setState(holder.peer.ID, member.Gone)
 	for i := range observer.view.Peers {
-		observer.view.Peers[i].Seen = 0
+		observer.view.Peers[i].StateProbedAt = 0
 	}
 	c.run(20, holder)
 	if got := len(observer.holding()); got != 2 {
--- a/pkg/lease/world_test.go
+++ b/pkg/lease/world_test.go
@@ -123,7 +123,7 @@
 			continue
 		}
 		p := o.peer
-		p.Seen = w.clock(v) + 1
+		p.StateProbedAt = w.clock(v) + 1
 		if rapid.IntRange(0, 3).Draw(w.T, "silent") == 0 {
 			p.State = member.Silent
 			if w.mutation == silenceIsEvidence {
@@ -134,7 +134,7 @@
 	}
 	for _, p := range w.dead {
 		p.State = rapid.SampledFrom([]member.State{member.Live, member.Silent, member.Gone}).Draw(w.T, "dead")
-		p.Seen = w.clock(v) + 1
+		p.StateProbedAt = w.clock(v) + 1
 		v.view.Peers = append(v.view.Peers, p)
 	}
 }
--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -65,9 +65,9 @@
 	// died recently or several targets died. The ages of the deaths are as of then.
 	Suspects []quarantine.Case
 	// StateProbedAt is when the heartbeat that last confirmed or changed State was sent.
-	Seen clock.Time
+	StateProbedAt clock.Time
 	// MissedHeartbeats is the number of consecutive heartbeats that it did not answer.
-	Missed int
+	MissedHeartbeats int
 }
 
 // PoolLoad is a VM's load in a pool of targets in its own region.
@@ -133,7 +133,7 @@
 		if p.ID != id {
 			continue
 		}
-		if p.Seen <= since {
+		if p.StateProbedAt <= since {
 			return false
 		}
 		return p.State == Gone || (p.State != Silent && p.Incarnation != incarnation)
--- a/pkg/member/roster.go
+++ b/pkg/member/roster.go
@@ -101,16 +101,16 @@
 	case ProbeRefused:
 		e.failed = 0
 		e.refused++
-		e.peer.Missed++
+		e.peer.MissedHeartbeats++
 		if e.refused >= goneAfter {
-			e.peer.State, e.peer.Seen = Gone, p.Sent
+			e.peer.State, e.peer.StateProbedAt = Gone, p.Sent
 		}
 	case ProbeFailed:
 		e.refused = 0
 		e.failed++
-		e.peer.Missed++
+		e.peer.MissedHeartbeats++
 		if e.failed >= silentAfter && e.peer.State != Gone {
-			e.peer.State, e.peer.Seen = Silent, p.Sent
+			e.peer.State, e.peer.StateProbedAt = Silent, p.Sent
 		}
 	}
 }
@@ -119,7 +119,7 @@
 	address := e.peer.PeerAddress
 	e.refused, e.failed = 0, 0
 	e.peer = p.Peer
-	e.peer.ID, e.peer.PeerAddress, e.peer.Seen = p.ID, address, p.Sent
+	e.peer.ID, e.peer.PeerAddress, e.peer.StateProbedAt = p.ID, address, p.Sent
 	if e.listedState == storage.VMLeaving && e.peer.State == Live {
 		e.peer.State = Leaving
 	}
