--- a/pkg/edge/balance.go
+++ b/pkg/edge/balance.go
@@ -14,7 +14,7 @@
 const balancePeriod = 250 * time.Millisecond
 
 // regionShares maps a pool to the fractions of its requests that each region runs.
-type regionShares map[string][]placement.Part
+type regionShares map[string][]placement.Share
 
 // balance periodically updates the limits of targets, the exchanged suspects, the region
 // shares and the fleet's share count, until ctx ends.
@@ -82,14 +82,14 @@
 	var regions []placement.Region
 	for _, name := range d.regions {
 		all, limited := target.UsableSlots(byRegion[name], time.Now())
-		regions = append(regions, placement.Region{Name: name, Slots: limited, Sound: all, Work: work[name], Bound: bound[name]})
+		regions = append(regions, placement.Region{Name: name, Slots: limited, UnlimitedSlots: all, Demand: work[name], BoundDemand: bound[name]})
 	}
 	return regions
 }
 
 // sharesOf returns the fraction of a pool's requests that each region runs. It computes
 // the fractions if balance has not published any for the pool yet.
-func (d *Daemon) sharesOf(pool string) []placement.Part {
+func (d *Daemon) sharesOf(pool string) []placement.Share {
 	if p := d.shares.Load(); p != nil && (*p)[pool] != nil {
 		return (*p)[pool]
 	}
--- a/pkg/edge/fleet.go
+++ b/pkg/edge/fleet.go
@@ -320,8 +320,8 @@
 	return startTokensFraction * (b.QuotaOverage*(a.Rate*b.QuotaWindow.Seconds()+a.Burst) + b.QuotaSlack)
 }
 
-// RepeatLimit implements ingress.Fleet.
-func (r *registry) RepeatLimit() retry.PoolLimit {
+// RetryLimit implements ingress.Fleet.
+func (r *registry) RetryLimit() retry.PoolLimit {
 	b := r.settings.Load().Bounds
 	return retry.PoolLimit{Ratio: b.RepeatRatio, Floor: b.RepeatFloor, Window: b.RepeatWindow.Duration, VMs: r.sharingCount()}
 }
--- a/pkg/edge/fleet_test.go
+++ b/pkg/edge/fleet_test.go
@@ -255,18 +255,18 @@
 // because they have not read yet how many VMs there are.
 func TestUnknownFleetSharesNothing(t *testing.T) {
 	r := newTestRegistry("vm-00", false)
-	if got := r.RepeatLimit(); got.VMs != 0 {
+	if got := r.RetryLimit(); got.VMs != 0 {
 		t.Errorf("unknown fleet: the retry floor is divided by %d VMs, want 0", got.VMs)
 	}
 	if _, ok := r.ColdInterval(&target.Live{}, 50); ok {
 		t.Error("unknown fleet: a cold target gets requests")
 	}
 	r.setRows(registrations(3)[1:], 0) // this VM has not registered yet, so the others do not count it
-	if got := r.RepeatLimit(); got.VMs != 0 {
+	if got := r.RetryLimit(); got.VMs != 0 {
 		t.Errorf("unregistered VM: the retry floor is divided by %d VMs, want 0", got.VMs)
 	}
 	r.setRows(registrations(3), 0)
-	if got := r.RepeatLimit(); got.VMs != 3 {
+	if got := r.RetryLimit(); got.VMs != 3 {
 		t.Errorf("three VMs: the retry floor is divided by %d, want 3", got.VMs)
 	}
 	if _, ok := r.ColdInterval(&target.Live{}, 50); !ok {
--- a/pkg/edge/suspects.go
+++ b/pkg/edge/suspects.go
@@ -250,8 +250,8 @@
 	return err
 }
 
-// Acquit implements ingress.Suspects. It marks the request's row for removal.
-func (s *suspects) Acquit(f quarantine.Fingerprint) {
+// Clear implements ingress.Suspects. It marks the request's row for removal.
+func (s *suspects) Clear(f quarantine.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if row := s.rows[suspectKey(f)]; row != nil {
--- a/pkg/edge/suspects_test.go
+++ b/pkg/edge/suspects_test.go
@@ -240,7 +240,7 @@
 	rows := store.all()
 	other.apply(rows[0])
 	one.list.RecordAnswer(poison)
-	one.Acquit(poison)
+	one.Clear(poison)
 	one.syncOnce(t)
 	if left := store.all(); len(left) != 0 {
 		t.Fatalf("%d rows are left, want none", len(left))
--- a/pkg/forward/conn.go
+++ b/pkg/forward/conn.go
@@ -76,7 +76,7 @@
 		return false
 	}
 	state := peek.Look(c.Conn)
-	return state == peek.Nothing || state == peek.Unknown
+	return state == peek.Empty || state == peek.Unknown
 }
 
 // connectionClosed reports whether err means that the target closed or reset the connection,
--- a/pkg/ingress/call.go
+++ b/pkg/ingress/call.go
@@ -128,8 +128,8 @@
 // caller's timeout and, once the route is known, the route's.
 func (c *call) timeout() time.Duration {
 	d := maxTimeout
-	if c.info.Patience > 0 {
-		d = min(d, c.info.Patience)
+	if c.info.Timeout > 0 {
+		d = min(d, c.info.Timeout)
 	}
 	if c.route != nil && c.route.Timeout > 0 {
 		d = min(d, c.route.Timeout)
@@ -159,7 +159,7 @@
 // that yet.
 func (c *call) callerGone() bool {
 	conn, ok := c.r.Context().Value(connKey{}).(net.Conn)
-	return ok && c.bodyComplete.Load() && peek.Look(conn) == peek.End
+	return ok && c.bodyComplete.Load() && peek.Look(conn) == peek.Closed
 }
 
 // idempotent reports whether the request may run more than once.
@@ -280,7 +280,7 @@
 // targetRequest builds the request that is sent to a target.
 func (c *call) targetRequest(l *target.Live) *http.Request {
 	h := endToEndHeaders(c.r.Header)
-	info := TargetInfo{InstanceID: l.ID, Patience: time.Until(c.arrived.Add(c.timeout()))}
+	info := TargetInfo{InstanceID: l.ID, Timeout: time.Until(c.arrived.Add(c.timeout()))}
 	if c.account != nil {
 		info.Account = c.account.Name
 	}
@@ -362,8 +362,8 @@
 	defer stream.Close()
 	// Once its answer has begun, a caller keeps waiting beyond the route's timeout.
 	timeout := maxTimeout
-	if c.info.Patience > 0 {
-		timeout = c.info.Patience
+	if c.info.Timeout > 0 {
+		timeout = c.info.Timeout
 	}
 	c.timer.Reset(time.Until(c.arrived.Add(timeout)))
 	n, err := io.Copy(c.w, stream)
--- a/pkg/ingress/choose.go
+++ b/pkg/ingress/choose.go
@@ -23,7 +23,7 @@
 		return l
 	}
 	pool := s.Pools[c.pool]
-	shares := c.s.cfg.Parts(c.pool)
+	shares := c.s.cfg.Shares(c.pool)
 	regions := placement.ChooseRegions(c.objectHash(), shares, func(region string) bool {
 		return c.allowsRegion(region) && slices.ContainsFunc(pool[region], func(l *target.Live) bool { return c.canUse(l, now) })
 	})
@@ -80,7 +80,7 @@
 	for i, l := range candidates {
 		load := l.Load(now)
 		occupancy[i] = placement.Occupancy{
-			Load: load, Slots: l.Slots, Service: l.Service(),
+			Load: load, Slots: l.Slots, ServiceTime: l.Service(),
 			Usable: !spilled || float64(load) < maxSpillLoad*float64(l.Slots),
 		}
 	}
--- a/pkg/ingress/fakes_test.go
+++ b/pkg/ingress/fakes_test.go
@@ -40,14 +40,14 @@
 
 func (fakeWire) Caller(h http.Header) CallerInfo {
 	ms, _ := strconv.Atoi(h.Get(hTimeout))
-	return CallerInfo{ID: h.Get(hID), Patience: time.Duration(ms) * time.Millisecond, KeyID: h.Get(hKey), Object: h.Get(hObject)}
+	return CallerInfo{ID: h.Get(hID), Timeout: time.Duration(ms) * time.Millisecond, KeyID: h.Get(hKey), Object: h.Get(hObject)}
 }
 
 func (fakeWire) ToTarget(h http.Header, t TargetInfo) {
 	h.Del(hKey)
 	h.Del(hAccount)
 	h.Set(hInstance, t.InstanceID)
-	h.Set(hTimeout, strconv.FormatInt(t.Patience.Milliseconds(), 10))
+	h.Set(hTimeout, strconv.FormatInt(t.Timeout.Milliseconds(), 10))
 	if t.Account != "" {
 		h.Set(hAccount, t.Account)
 	}
@@ -80,7 +80,7 @@
 func (f *fakeFleet) ColdInterval(*target.Live, float64) (time.Duration, bool) {
 	return f.cold, f.cold > 0
 }
-func (f *fakeFleet) RepeatLimit() retry.PoolLimit { return f.retries }
+func (f *fakeFleet) RetryLimit() retry.PoolLimit { return f.retries }
 
 // fakeSuspects implements Suspects for a single VM.
 type fakeSuspects struct {
@@ -92,7 +92,7 @@
 func (f *fakeSuspects) Report(p quarantine.Fingerprint, d quarantine.Death) bool {
 	return f.list.RecordDeath(p, d)
 }
-func (f *fakeSuspects) Acquit(quarantine.Fingerprint) {}
+func (f *fakeSuspects) Clear(quarantine.Fingerprint) {}
 func (f *fakeSuspects) Try(_ context.Context, p quarantine.Fingerprint) bool {
 	f.list.RecordTrials(p, int(f.tried.Add(1)))
 	return true
@@ -210,7 +210,7 @@
 	t.Cleanup(client.Close)
 	w.server = NewServer(Config{
 		Wire: fakeWire{}, Region: "east", State: func() *State { return w.state }, Targets: w.targets, Limiter: w.limiter,
-		Parts: func(pool string) []placement.Part {
+		Shares: func(pool string) []placement.Share {
 			var regions []placement.Region
 			for _, name := range []string{"east", "west"} {
 				_, slots := target.UsableSlots(w.targets.Snapshot().Pools[pool][name], time.Now())
--- a/pkg/ingress/poison.go
+++ b/pkg/ingress/poison.go
@@ -175,6 +175,6 @@
 	f := c.fingerprint()
 	if c.s.cfg.Quarantine.RecordAnswer(f) {
 		c.s.cfg.Log.Info().Str("request", c.info.ID).Stringer("fingerprint", f).Bool("trial", c.trial).Msg("target answered a suspect request")
-		c.s.cfg.Suspects.Acquit(f)
+		c.s.cfg.Suspects.Clear(f)
 	}
 }
--- a/pkg/ingress/run.go
+++ b/pkg/ingress/run.go
@@ -102,7 +102,7 @@
 		c.s.counters.retriesFree.Inc(1)
 		return true
 	}
-	decision := c.s.budget.Take(c.pool, c.s.cfg.Fleet.RepeatLimit(), c.s.cfg.Clock.Now())
+	decision := c.s.budget.Take(c.pool, c.s.cfg.Fleet.RetryLimit(), c.s.cfg.Clock.Now())
 	c.retries.decision = &decision
 	if decision.Granted {
 		c.retries.charged++
@@ -281,7 +281,7 @@
 	changed := false
 	switch {
 	case !info.authentic(l, status):
-	case info.LimitUnclear:
+	case info.LimitInvalid:
 		if l.LimitUnclear() {
 			c.s.cfg.Log.Warn().Str("request", c.info.ID).Str("target", l.ID).Msg("target names an invalid limit; its previous limit stays in force")
 		}
--- a/pkg/ingress/server.go
+++ b/pkg/ingress/server.go
@@ -71,8 +71,8 @@
 	// ColdInterval returns the minimum time between two requests from this VM to a cold target. ok
 	// is false if the VM may send none.
 	ColdInterval(l *target.Live, rate float64) (interval time.Duration, ok bool)
-	// RepeatLimit returns the bound on the retries to a pool.
-	RepeatLimit() retry.PoolLimit
+	// RetryLimit returns the bound on the retries to a pool.
+	RetryLimit() retry.PoolLimit
 }
 
 // TargetLimiter admits requests to targets that name a limit. A limit applies to all VMs together.
@@ -91,8 +91,8 @@
 	// Try reports whether a request on probation may be sent now. If so, no other VM may send it at
 	// the same time.
 	Try(ctx context.Context, f quarantine.Fingerprint) bool
-	// Acquit records that a target answered a suspect request.
-	Acquit(f quarantine.Fingerprint)
+	// Clear records that a target answered a suspect request.
+	Clear(f quarantine.Fingerprint)
 }
 
 // Config holds the dependencies and settings of a Server.
@@ -101,12 +101,12 @@
 	Region string
 	// State returns the configuration in force, or nil before the first.
 	State func() *State
-	// Known is closed once a configuration, the targets and the VMs are known. If it is nil, they
+	// Ready is closed once a configuration, the targets and the VMs are known. If it is nil, they
 	// are known from the start.
-	Known   <-chan struct{}
+	Ready   <-chan struct{}
 	Targets *target.Registry
-	// Parts returns the regions in which the requests to a pool run.
-	Parts   func(pool string) []placement.Part
+	// Shares returns the regions in which the requests to a pool run.
+	Shares  func(pool string) []placement.Share
 	Limiter limit.Limiter
 	// TargetLimiter bounds the requests to targets that name a limit.
 	TargetLimiter TargetLimiter
@@ -276,7 +276,7 @@
 	if split := c.state.splits[c.route.Name]; split != nil {
 		c.pool = split.choose(c.objectHash())
 	}
-	c.s.budget.Count(c.pool, c.s.cfg.Fleet.RepeatLimit(), c.s.cfg.Clock.Now())
+	c.s.budget.Count(c.pool, c.s.cfg.Fleet.RetryLimit(), c.s.cfg.Clock.Now())
 	if a := c.refuseIfQuarantined(ctx); a != nil { // before the request counts against the account's rate
 		return a
 	}
--- a/pkg/ingress/start.go
+++ b/pkg/ingress/start.go
@@ -32,11 +32,11 @@
 
 // ready reports whether the VM knows everything that requests need.
 func (s *Server) ready() bool {
-	if s.cfg.Known == nil {
+	if s.cfg.Ready == nil {
 		return true
 	}
 	select {
-	case <-s.cfg.Known:
+	case <-s.cfg.Ready:
 		return true
 	default:
 		return false
@@ -54,7 +54,7 @@
 	timer := time.NewTimer(left)
 	defer timer.Stop()
 	select {
-	case <-s.cfg.Known:
+	case <-s.cfg.Ready:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/pkg/ingress/start_test.go
+++ b/pkg/ingress/start_test.go
@@ -10,7 +10,7 @@
 // the returned channel is closed.
 func (w *fixture) restart() (ready chan struct{}) {
 	ready = make(chan struct{})
-	w.server.cfg.Known = ready
+	w.server.cfg.Ready = ready
 	w.server.started = time.Now()
 	return ready
 }
--- a/pkg/ingress/trouble_test.go
+++ b/pkg/ingress/trouble_test.go
@@ -298,7 +298,7 @@
 		defer near.Close()
 		if leaves {
 			far.Close()
-			for peek.Look(near) != peek.End {
+			for peek.Look(near) != peek.Closed {
 				time.Sleep(time.Millisecond)
 			}
 		}
--- a/pkg/ingress/wire.go
+++ b/pkg/ingress/wire.go
@@ -11,8 +11,8 @@
 type CallerInfo struct {
 	// ID identifies the caller's attempt; each attempt has its own.
 	ID string
-	// Patience is how long the caller waits; 0 if unknown.
-	Patience time.Duration
+	// Timeout is how long the caller waits; 0 if unknown.
+	Timeout time.Duration
 	// KeyID is the ID, in the configuration, of the key that the caller presented.
 	KeyID string
 	// Object names what the request concerns. Requests for an object run faster on a target that
@@ -25,8 +25,8 @@
 	// InstanceID identifies the only target that may run the request.
 	InstanceID string
 	Account    string
-	// Patience is how long this VM waits for the answer.
-	Patience time.Duration
+	// Timeout is how long this VM waits for the answer.
+	Timeout time.Duration
 }
 
 // AnswerInfo is what an answer says about its target.
@@ -45,9 +45,9 @@
 	// ColdFor is how much longer the target stays cold, that is, slow.
 	ColdFor time.Duration
 	// Limit is the number of requests per second that the target takes from all VMs together. It is
-	// not valid if LimitUnclear is set: the answer then names a limit that cannot be parsed.
+	// not valid if LimitInvalid is set: the answer then names a limit that cannot be parsed.
 	Limit        target.Limit
-	LimitUnclear bool
+	LimitInvalid bool
 	// Leaving is set if the target is leaving and takes no new requests.
 	Leaving bool
 	// RetryAfter is how long a target that refused the request wants no further requests from this
--- a/pkg/peek/peek.go
+++ b/pkg/peek/peek.go
@@ -14,12 +14,12 @@
 const (
 	// Unknown: the connection cannot be inspected.
 	Unknown State = iota
-	// Nothing: no unread data, and the connection is open.
-	Nothing
-	// Bytes: there is unread data.
-	Bytes
-	// End: the connection was closed or reset.
-	End
+	// Empty: no unread data, and the connection is open.
+	Empty
+	// Readable: there is unread data.
+	Readable
+	// Closed: the connection was closed or reset.
+	Closed
 )
 
 // Look returns the state of a connection. It never blocks and costs one system call.
@@ -33,21 +33,21 @@
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
-		return End // the connection is closed
+		return Closed // the connection is closed
 	}
-	state := End
+	state := Closed
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR):
-			state = Nothing
+			state = Empty
 		case err == nil && n > 0:
-			state = Bytes
+			state = Readable
 		}
 	})
 	if err != nil {
-		return End
+		return Closed
 	}
 	return state
 }
--- a/pkg/peek/peek_test.go
+++ b/pkg/peek/peek_test.go
@@ -36,25 +36,25 @@
 		}
 	}
 	near, far := pair()
-	expect("nothing sent", near, peek.Nothing)
+	expect("nothing sent", near, peek.Empty)
 	if _, err := far.Write([]byte("xy")); err != nil {
 		t.Fatal(err)
 	}
-	expect("bytes sent", near, peek.Bytes)
-	expect("bytes sent, after an earlier look", near, peek.Bytes)
+	expect("bytes sent", near, peek.Readable)
+	expect("bytes sent, after an earlier look", near, peek.Readable)
 	if _, err := near.Read(make([]byte, 2)); err != nil {
 		t.Fatal(err)
 	}
-	expect("bytes read", near, peek.Nothing)
+	expect("bytes read", near, peek.Empty)
 	far.Close()
-	expect("closed by the peer", near, peek.End)
+	expect("closed by the peer", near, peek.Closed)
 	near, far = pair()
 	_ = far.(*net.TCPConn).SetLinger(0)
 	far.Close()
-	expect("reset by the peer", near, peek.End)
+	expect("reset by the peer", near, peek.Closed)
 	near, _ = pair()
 	near.Close()
-	expect("closed locally", near, peek.End)
+	expect("closed locally", near, peek.Closed)
 	piped, _ := net.Pipe()
 	expect("not a socket", piped, peek.Unknown)
 }
--- a/pkg/placement/balance.go
+++ b/pkg/placement/balance.go
@@ -24,19 +24,19 @@
 	Name string
 	// Slots is how many requests its usable targets can run at once.
 	Slots float64
-	// Sound is what Slots would be if its usable targets named no limits. 0 means the
+	// UnlimitedSlots is what Slots would be if its usable targets named no limits. 0 means the
 	// same as Slots.
-	Sound float64
-	// Work is how many slots the requests of its callers need, without those that are
+	UnlimitedSlots float64
+	// Demand is how many slots the requests of its callers need, without those that are
 	// bound to one region.
-	Work float64
-	// Bound is how many slots the requests need that may run in this region only,
+	Demand float64
+	// BoundDemand is how many slots the requests need that may run in this region only,
 	// wherever their callers are.
-	Bound float64
+	BoundDemand float64
 }
 
-// Part is the fraction of a region's requests that runs in the region Region.
-type Part struct {
+// Share is the fraction of a region's requests that runs in the region Region.
+type Share struct {
 	Region   string
 	Fraction float64
 }
@@ -46,7 +46,7 @@
 // the regions with more than 1/R of the slots. If that raises a region above the comfortable
 // utilization, or above the fleet's utilization if that is higher, the excess goes to regions with
 // room.
-func Split(home string, regions []Region) []Part {
+func Split(home string, regions []Region) []Share {
 	regions = withoutBound(regions)
 	slices.SortFunc(regions, func(a, b Region) int { return cmp.Compare(a.Name, b.Name) })
 	flows := flowsByCapacity(regions)
@@ -58,9 +58,9 @@
 		if r.Name != home {
 			continue
 		}
-		shares := make([]Part, len(regions))
+		shares := make([]Share, len(regions))
 		for j := range regions {
-			shares[j] = Part{Region: regions[j].Name, Fraction: flows[i][j]}
+			shares[j] = Share{Region: regions[j].Name, Fraction: flows[i][j]}
 		}
 		return shares
 	}
@@ -73,7 +73,7 @@
 	out := slices.Clone(regions)
 	left := 0.0
 	for i, r := range out {
-		out[i].Slots = max(0, r.Slots-r.Bound)
+		out[i].Slots = max(0, r.Slots-r.BoundDemand)
 		left += out[i].Slots
 	}
 	if left == 0 {
@@ -122,9 +122,9 @@
 	load := make([]float64, len(regions))
 	for i, r := range regions {
 		slots += r.Slots
-		work += r.Work
+		work += r.Demand
 		for j := range regions {
-			load[j] += r.Work * flows[i][j]
+			load[j] += r.Demand * flows[i][j]
 		}
 	}
 	level := max(comfortableUtilization, work/slots)
@@ -153,13 +153,13 @@
 // Balancer holds the shares of one pool's requests and changes them gradually. Only one goroutine
 // may use it.
 type Balancer struct {
-	shares []Part
+	shares []Share
 	slots  map[string]float64
 	at     time.Time
 }
 
 // Update returns the shares in force at now, given the current state of the regions.
-func (b *Balancer) Update(home string, regions []Region, now time.Time) []Part {
+func (b *Balancer) Update(home string, regions []Region, now time.Time) []Share {
 	want := Split(home, regions)
 	if b.jumped(regions) || len(b.shares) != len(want) { // want is empty while no region has capacity
 		b.shares = want
@@ -172,7 +172,7 @@
 
 // capacity returns the capacity by which disruptions are detected. It ignores the targets' limits:
 // what targets take under a limit also varies with the duration of each request.
-func (r Region) capacity() float64 { return cmp.Or(r.Sound, r.Slots) }
+func (r Region) capacity() float64 { return cmp.Or(r.UnlimitedSlots, r.Slots) }
 
 // jumped reports whether the capacity has changed since the last jump as much as in a disruption.
 func (b *Balancer) jumped(regions []Region) bool {
@@ -193,7 +193,7 @@
 }
 
 // approach moves shares towards want. step bounds the fraction of the requests that changes region.
-func approach(shares, want []Part, step float64) []Part {
+func approach(shares, want []Share, step float64) []Share {
 	moving := 0.0
 	for i := range want {
 		moving += max(0, want[i].Fraction-shares[i].Fraction)
@@ -201,9 +201,9 @@
 	if moving <= step {
 		return want
 	}
-	out := make([]Part, len(want))
+	out := make([]Share, len(want))
 	for i := range want {
-		out[i] = Part{Region: want[i].Region, Fraction: shares[i].Fraction + (want[i].Fraction-shares[i].Fraction)*step/moving}
+		out[i] = Share{Region: want[i].Region, Fraction: shares[i].Fraction + (want[i].Fraction-shares[i].Fraction)*step/moving}
 	}
 	return out
 }
--- a/pkg/placement/balance_test.go
+++ b/pkg/placement/balance_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func fractions(shares []Part) map[string]float64 {
+func fractions(shares []Share) map[string]float64 {
 	m := map[string]float64{}
 	for _, p := range shares {
 		m[p.Region] = math.Round(p.Fraction*1000) / 1000
@@ -31,10 +31,10 @@
 		// Demand peaks in a region that has lost half of its targets to an evacuation. By capacity
 		// it keeps 0.75, which is 45 slots of work; 27 are comfortable.
 		{"peak in a partly evacuated region", "c", []Region{
-			{Name: "a", Slots: 90, Work: 30}, {Name: "b", Slots: 18, Work: 10}, {Name: "c", Slots: 36, Work: 60},
+			{Name: "a", Slots: 90, Demand: 30}, {Name: "b", Slots: 18, Demand: 10}, {Name: "c", Slots: 36, Demand: 60},
 		}, map[string]float64{"a": 0.438, "b": 0.112, "c": 0.45}},
 		{"a burst on a full fleet is shared", "a", []Region{
-			{Name: "a", Slots: 10, Work: 30}, {Name: "b", Slots: 10, Work: 10},
+			{Name: "a", Slots: 10, Demand: 30}, {Name: "b", Slots: 10, Demand: 10},
 		}, map[string]float64{"a": 0.667, "b": 0.333}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 	names := []string{"a", "b", "c", "d"}[:rapid.IntRange(1, 4).Draw(t, "regions")]
 	var out []Region
 	for _, n := range names {
-		out = append(out, Region{Name: n, Slots: float64(rapid.IntRange(0, 100).Draw(t, "slots")), Work: rapid.Float64Range(0, 200).Draw(t, "work")})
+		out = append(out, Region{Name: n, Slots: float64(rapid.IntRange(0, 100).Draw(t, "slots")), Demand: rapid.Float64Range(0, 200).Draw(t, "work")})
 	}
 	return out
 }
@@ -61,7 +61,7 @@
 		regions := drawRegions(t)
 		slots, work := 0.0, 0.0
 		for _, r := range regions {
-			slots, work = slots+r.Slots, work+r.Work
+			slots, work = slots+r.Slots, work+r.Demand
 		}
 		if slots == 0 {
 			return
@@ -74,7 +74,7 @@
 					t.Fatalf("negative share %v", p)
 				}
 				sum += p.Fraction
-				load[p.Region] += p.Fraction * home.Work
+				load[p.Region] += p.Fraction * home.Demand
 			}
 			if math.Abs(sum-1) > 1e-9 {
 				t.Fatalf("shares of %s sum to %v, want 1", home.Name, sum)
@@ -99,7 +99,7 @@
 		old := b.Update("a", regions, now)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			for i := range regions {
-				regions[i].Work = rapid.Float64Range(0, 200).Draw(t, "work")
+				regions[i].Demand = rapid.Float64Range(0, 200).Draw(t, "work")
 			}
 			now = now.Add(250 * time.Millisecond)
 			next := b.Update("a", regions, now)
@@ -129,9 +129,9 @@
 // requests for a while, though they are registered.
 func TestTemporaryLossOfAllCapacity(t *testing.T) {
 	b, now := &Balancer{}, time.Now()
-	update := func(slots float64) []Part {
+	update := func(slots float64) []Share {
 		now = now.Add(time.Second)
-		return b.Update("east", []Region{{Name: "east", Slots: slots, Sound: 9}, {Name: "west", Slots: slots, Sound: 9}}, now)
+		return b.Update("east", []Region{{Name: "east", Slots: slots, UnlimitedSlots: 9}, {Name: "west", Slots: slots, UnlimitedSlots: 9}}, now)
 	}
 	for _, slots := range []float64{9, 0, 9} {
 		if got, want := len(update(slots)), min(2, int(slots)); got != want {
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -45,9 +45,9 @@
 // ChooseRegions returns the regions for an object in order of preference: first the one that its
 // hash selects by the shares, then the others by descending share. Regions that are not usable are
 // left out.
-func ChooseRegions(object uint64, shares []Part, usable func(region string) bool) []string {
+func ChooseRegions(object uint64, shares []Share, usable func(region string) bool) []string {
 	sum := 0.0
-	usableShares := make([]Part, 0, len(shares))
+	usableShares := make([]Share, 0, len(shares))
 	for _, p := range shares {
 		if usable(p.Region) {
 			usableShares = append(usableShares, p)
@@ -67,7 +67,7 @@
 	}
 	order := []string{usableShares[first].Region}
 	usableShares = slices.Delete(usableShares, first, first+1)
-	slices.SortStableFunc(usableShares, func(a, b Part) int { return cmp.Compare(b.Fraction, a.Fraction) })
+	slices.SortStableFunc(usableShares, func(a, b Share) int { return cmp.Compare(b.Fraction, a.Fraction) })
 	for _, p := range usableShares {
 		order = append(order, p.Region)
 	}
@@ -80,9 +80,9 @@
 
 // HomeFirst puts the caller's region first if it has room. It is meant for bulky answers, whose
 // transfer between regions costs more than a cold run.
-func HomeFirst(order []string, home string, shares []Part) []string {
+func HomeFirst(order []string, home string, shares []Share) []string {
 	at := slices.Index(order, home)
-	room := slices.ContainsFunc(shares, func(p Part) bool { return p.Region == home && p.Fraction >= minHomeShare })
+	room := slices.ContainsFunc(shares, func(p Share) bool { return p.Region == home && p.Fraction >= minHomeShare })
 	if at <= 0 || !room {
 		return order
 	}
@@ -131,8 +131,8 @@
 	// Load is the number of requests that run or wait there.
 	Load  int
 	Slots int
-	// Service is the mean time that a request occupies a slot there; 0 if unknown.
-	Service time.Duration
+	// ServiceTime is the mean time that a request occupies a slot there; 0 if unknown.
+	ServiceTime time.Duration
 	// Usable is false for targets that are suspect or can take no more requests now.
 	Usable bool
 }
@@ -143,7 +143,7 @@
 	if queued <= 0 {
 		return 0
 	}
-	return time.Duration(float64(queued) / float64(o.Slots) * float64(o.Service))
+	return time.Duration(float64(queued) / float64(o.Slots) * float64(o.ServiceTime))
 }
 
 // The useful length of a queue depends on whether the target runs its objects warm.
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -46,7 +46,7 @@
 }
 
 func TestChooseRegions(t *testing.T) {
-	shares := []Part{{"a", 0.5}, {"b", 0.3}, {"c", 0.2}}
+	shares := []Share{{"a", 0.5}, {"b", 0.3}, {"c", 0.2}}
 	all := func(string) bool { return true }
 	counts := map[string]int{}
 	const objects = 20000
@@ -73,20 +73,20 @@
 
 // occupied returns a candidate with 9 slots.
 func occupied(load int, service time.Duration) Occupancy {
-	return Occupancy{Load: load, Slots: 9, Service: service, Usable: true}
+	return Occupancy{Load: load, Slots: 9, ServiceTime: service, Usable: true}
 }
 
 func TestHomeFirst(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		order []string
-		parts []Part
+		parts []Share
 		want  []string
 	}{
-		{"room at home", []string{"b", "a", "c"}, []Part{{"a", 0.3}, {"b", 0.7}}, []string{"a", "b", "c"}},
-		{"no room at home", []string{"b", "a", "c"}, []Part{{"a", 0.2}, {"b", 0.8}}, []string{"b", "a", "c"}},
-		{"home first already", []string{"a", "b"}, []Part{{"a", 1}}, []string{"a", "b"}},
-		{"home not usable", []string{"b", "c"}, []Part{{"a", 1}}, []string{"b", "c"}},
+		{"room at home", []string{"b", "a", "c"}, []Share{{"a", 0.3}, {"b", 0.7}}, []string{"a", "b", "c"}},
+		{"no room at home", []string{"b", "a", "c"}, []Share{{"a", 0.2}, {"b", 0.8}}, []string{"b", "a", "c"}},
+		{"home first already", []string{"a", "b"}, []Share{{"a", 1}}, []string{"a", "b"}},
+		{"home not usable", []string{"b", "c"}, []Share{{"a", 1}}, []string{"b", "c"}},
 	} {
 		if diff := cmp.Diff(tt.want, HomeFirst(tt.order, "a", tt.parts)); diff != "" {
 			t.Errorf("%s: %s", tt.name, diff)
--- a/pkg/placement/sim_test.go
+++ b/pkg/placement/sim_test.go
@@ -106,7 +106,7 @@
 		}
 		load := make([]Occupancy, simTargets)
 		for i := range targets {
-			load[i] = Occupancy{Load: targets[i].running + len(targets[i].queue), Slots: simSlots, Service: simWarm, Usable: true}
+			load[i] = Occupancy{Load: targets[i].running + len(targets[i].queue), Slots: simSlots, ServiceTime: simWarm, Usable: true}
 		}
 		i := policy(e.object, load, rng)
 		if i < 0 {
