--- a/pkg/edge/follow.go
+++ b/pkg/edge/follow.go
@@ -65,11 +65,11 @@
 		newestConfig, newestList := newestVersions(d.members.View())
 		if config.shouldKick(d.Snapshot().Version, newestConfig, time.Now()) {
 			d.log.Warn().Int64("config", d.Snapshot().Version).Int64("peers", newestConfig).Msg("a peer has a newer configuration; sending a new request to the store")
-			operators.Kick()
+			operators.Refresh()
 		}
 		if known := d.listKnown.Load(); list.shouldKick(known, newestList, time.Now()) {
 			d.log.Warn().Int64("list", known).Int64("peers", newestList).Msg("a peer has a newer list of targets; sending a new request to the store")
-			targets.Kick()
+			targets.Refresh()
 		}
 	})
 }
@@ -154,7 +154,7 @@
 		for _, c := range lastChanges(u.Changes) {
 			if c.Removed {
 				removed = append(removed, c.Key)
-				returned = returned || c.Returned
+				returned = returned || c.AfterOutage
 				continue
 			}
 			d.applyTarget(c, first, now)
