--- a/pkg/dispatch/bench_test.go
+++ b/pkg/dispatch/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkAcquire is a grant of a local target and its release, in a region
-// with 20 targets.
+// BenchmarkAcquire measures the grant of a local target and its release, in a region with
+// 20 targets.
 func BenchmarkAcquire(b *testing.B) {
 	f := newFleet()
 	c := f.schedulerConfig()
@@ -23,7 +23,7 @@
 	}
 }
 
-// BenchmarkAcquireParallel is the same from all processors at once.
+// BenchmarkAcquireParallel measures the same on all processors in parallel.
 func BenchmarkAcquireParallel(b *testing.B) {
 	f := newFleet()
 	c := f.schedulerConfig()
--- a/pkg/dispatch/capacity.go
+++ b/pkg/dispatch/capacity.go
@@ -12,97 +12,103 @@
 	"crocusramp.dev/crocusramp/pkg/target"
 )
 
-// backend is a target of this VM's region with the permits for it.
-type backend struct {
+// localTarget is a target of this VM's region with the permits that this VM holds for it.
+type localTarget struct {
 	target.Target
-	// slots are the lease slots that this VM holds or still has requests
-	// running under.
-	slots   []slotPermits
+	// slots are the lease slots that this VM may use or under which its requests
+	// still run.
+	slots []slotPermits
+	// held is the number of permits of the lease slots that this VM may use.
 	held    int
 	running int
+	// drained reports whether an operator drains the target.
 	drained bool
 	health  health.Tracker
 }
 
-// slotPermits are the permits that one lease slot carries for a target.
+// slotPermits counts the permits that one lease slot carries for a target and the
+// requests that run under them.
 type slotPermits struct {
 	slot    int
 	permits int
 	running int
 }
 
-// free returns how many held permits are not in use.
-func (b *backend) free() int {
+// freePermits returns how many held permits are not in use.
+func (t *localTarget) freePermits() int {
 	n := 0
-	for _, s := range b.slots {
+	for _, s := range t.slots {
 		n += max(0, s.permits-s.running)
 	}
 	return n
 }
 
-// take uses a permit and returns its lease slot.
-func (b *backend) take() int {
-	for i := range b.slots {
-		s := &b.slots[i]
+// takePermit marks a permit as in use and returns its lease slot. There must be a free
+// permit.
+func (t *localTarget) takePermit() int {
+	for i := range t.slots {
+		s := &t.slots[i]
 		if s.running < s.permits {
 			s.running++
-			b.running++
+			t.running++
 			return s.slot
 		}
 	}
-	panic("dispatch: no free permit to take")
+	panic("dispatch: took a permit of a target without a free one")
 }
 
-// put gives back a permit of the lease slot.
-func (b *backend) put(slot int) {
-	b.running--
-	for i := range b.slots {
-		if b.slots[i].slot == slot {
-			b.slots[i].running--
+// returnPermit returns a permit of the lease slot after its request has ended.
+func (t *localTarget) returnPermit(slot int) {
+	t.running--
+	for i := range t.slots {
+		if t.slots[i].slot == slot {
+			t.slots[i].running--
 			return
 		}
 	}
-	panic("dispatch: permit of an unknown lease slot")
+	panic("dispatch: returned a permit of an unknown lease slot")
 }
 
-// hold sets the lease slots whose permits may be granted.
-func (b *backend) hold(usable []int, layout []string) {
-	counts := permit.Assign(b.Target, layout)
+// setUsableSlots sets the lease slots whose permits may be granted. A slot that is no
+// longer usable stays in the list, without permits, until its requests have ended.
+func (t *localTarget) setUsableSlots(usable []int, slotRegions []string) {
+	counts := permit.Assign(t.Target, slotRegions)
 	kept := make([]slotPermits, 0, len(usable))
-	for _, s := range b.slots {
+	for _, s := range t.slots {
 		if s.running > 0 && !slices.Contains(usable, s.slot) {
 			kept = append(kept, slotPermits{slot: s.slot, running: s.running})
 		}
 	}
-	b.held = 0
+	t.held = 0
 	for _, slot := range usable {
 		s := slotPermits{slot: slot, permits: counts[slot]}
-		for _, old := range b.slots {
+		for _, old := range t.slots {
 			if old.slot == slot {
 				s.running = old.running
 			}
 		}
-		b.held += s.permits
+		t.held += s.permits
 		kept = append(kept, s)
 	}
-	b.slots = kept
+	t.slots = kept
 }
 
-// allowed returns how many requests may run on the backend now.
-func (b *backend) allowed(now clock.Time, believeDown bool) int {
-	if b.drained || b.health.ReportedDraining(now) || believeDown && b.health.ReportedDown(now) {
+// allowed returns how many requests of this VM may run on the target now.
+func (t *localTarget) allowed(now clock.Time, trustDownReports bool) int {
+	if t.drained || t.health.ReportedDraining(now) || trustDownReports && t.health.ReportedDown(now) {
 		return 0
 	}
-	held := b.health.ReportedLimit(now, b.held, permit.Limit(b.Target))
-	return b.health.Allowed(now, held, b.running)
+	held := t.health.ReportedLimit(now, t.held, permit.Limit(t.Target))
+	return t.health.Allowed(now, held, t.running)
 }
 
-// usableSlots appends to dst the lease slots of the holding whose permits may
-// be granted: valid, of this region by the agreed layout, not retired, and past
-// the time in which requests of a former holder may still run.
-func usableSlots(dst []int, h *lease.Holding, layout []string, region string, now clock.Time, holdDown time.Duration, retired map[int]clock.Time) []int {
+// usableSlots appends to dst the lease slots of the holding whose permits may be
+// granted. Such a slot is valid, belongs to the region in the holding and in
+// slotRegions, and was not retired since this VM took it. If requests of a former
+// holder may still run under it, holdDown must have passed since the takeover.
+func usableSlots(dst []int, h *lease.Holding, slotRegions []string, region string, now clock.Time, holdDown time.Duration, retired map[int]clock.Time) []int {
 	for _, s := range h.Slots {
-		if !s.Valid(now) || s.Region != region || s.Index >= len(layout) || layout[s.Index] != region {
+		if !s.Valid(now) || s.Region != region || s.Index >= len(slotRegions) || slotRegions[s.Index] != region {
 			continue
 		}
 		if !s.New && !s.Idle && now.Sub(s.Since) < holdDown {
@@ -116,8 +122,9 @@
 	return dst
 }
 
-// longestTimeout returns the longest timeout of the routes to a pool: as long
-// may a request run that was granted at the last moment.
+// longestTimeout returns the longest timeout of the routes to a pool. A request that
+// the former holder of a lease slot granted just before it lost the slot can run for
+// that long.
 func longestTimeout(cfg *config.Config, pool string) time.Duration {
 	var longest time.Duration
 	for _, r := range cfg.Routes {
@@ -128,12 +135,12 @@
 	return longest
 }
 
-// drained reports whether an operator keeps new work from the target.
+// drained reports whether a drain of an operator keeps new requests from the target.
 func drained(cfg *config.Config, t target.Target) bool {
 	return cfg.Drained(config.DrainTarget, t.ID, t.Region, t.FailureDomain)
 }
 
-// drainedVMs returns the IDs of the VMs that operators keep new work from.
+// drainedVMs returns the IDs of the VMs that operators drain.
 func drainedVMs(cfg *config.Config) map[string]bool {
 	ids := map[string]bool{}
 	for _, d := range cfg.Drains {
--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch decides where an admitted request runs: it queues by
-// priority and fair share, takes a permit and names a target, or the peer that
-// the request is handed over to.
+// Package dispatch decides where an admitted request runs. It queues requests by
+// priority and fair share, and grants each of them either a permit for a target of
+// this VM's region or a peer to which the request is handed over.
 package dispatch
 
 import (
@@ -13,50 +13,52 @@
 	"crocusramp.dev/crocusramp/pkg/target"
 )
 
-// Request is what a decision depends on.
+// Request holds the properties of a request that the decision depends on.
 type Request struct {
 	ID string
-	// Account is empty on open routes.
+	// Account is the client account; empty on open routes.
 	Account string
 	// Weight is the account's fair-share weight.
 	Weight int
 	Route  *config.Route
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// HandedOver requests came from a peer and are never handed over again.
+	// HandedOver is set if a peer handed the request over to this VM. Such a request
+	// is never handed over again.
 	HandedOver bool
-	// Tried holds the IDs of targets that failed this request before.
+	// Tried holds the IDs of the targets on which an earlier attempt failed.
 	Tried []string
 }
 
-// Result is how a request that was granted a target ended.
+// Result tells how a granted request ended.
 type Result struct {
 	Outcome outcome.Outcome
-	// Status is the target's HTTP status; 0 where it sent none.
+	// Status is the HTTP status of the response; 0 if there was none.
 	Status int
-	// Latency is the time from the grant to the end of the answer.
+	// Latency is the time from the grant to the end of the response.
 	Latency time.Duration
-	// Shed reports that the target refused before running the request.
+	// Shed reports that the target refused the request without running it.
 	Shed bool
-	// Canceled reports that the caller went away before the answer, which
-	// says nothing of the target.
+	// Canceled reports that the caller left before the response was complete. This
+	// says nothing about the target's health.
 	Canceled bool
 }
 
 // Grant is the right to send one request. Exactly one of Target and Peer is
-// set. Release must be called once.
+// set. The caller must call Release once, when the request has ended.
 type Grant struct {
-	// Target is where the request runs, under a permit that the grant holds.
+	// Target runs the request; the grant holds a permit for it.
 	Target *target.Target
-	// Peer is the VM that dispatches the request in our place.
+	// Peer is the VM to which the request is handed over; it dispatches the request.
 	Peer    *member.Peer
 	Release func(Result)
 }
 
-// Dispatcher grants requests their place. Its methods are safe for concurrent
-// use by traffic goroutines.
+// Dispatcher grants each request a target or a peer. Its methods are safe for
+// concurrent use.
 type Dispatcher interface {
-	// Acquire waits no longer than a short queue bound and never past the
-	// request's deadline. A refusal is always outcome.NotRun.
+	// Acquire returns either a grant or a refusal. It waits for at most the maximum
+	// queue wait of the request's priority and never past its deadline. The outcome
+	// of a refusal is always outcome.NotRun.
 	Acquire(ctx context.Context, r *Request) (*Grant, *outcome.Refusal)
 }
--- a/pkg/dispatch/fixture_test.go
+++ b/pkg/dispatch/fixture_test.go
@@ -12,14 +12,15 @@
 	"crocusramp.dev/crocusramp/pkg/target"
 )
 
-// bubbleClock reads the time of a synctest bubble.
+// bubbleClock reads time.Now, which is the fake time inside a synctest bubble.
 type bubbleClock struct{}
 
 func (bubbleClock) Now() clock.Time { return clock.Time(time.Now().UnixNano()) }
 
 const forever = clock.Time(1 << 62)
 
-// fakeFleet is a source of everything that a Scheduler reads.
+// fakeFleet implements the lease holder, member source and configuration source of a
+// Scheduler.
 type fakeFleet struct {
 	mu      sync.Mutex
 	holding *lease.Holding
@@ -41,7 +42,7 @@
 	return config.Snapshot{Config: f.config, Fresh: true}
 }
 
-// change publishes another configuration and other peers.
+// change publishes a configuration with the given drains, and a view with the given peers.
 func (f *fakeFleet) change(drains map[string]*config.Drain, peers ...member.Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,8 +52,8 @@
 	f.config, f.view = &cfg, &view
 }
 
-// newFleet gives vm-0 of region east all lease slots of its region, out of two
-// regions.
+// newFleet returns a fleet of two regions, east and west, in which vm-0 of region east holds
+// all lease slots of its region.
 func newFleet() *fakeFleet {
 	cfg := config.Empty()
 	cfg.Version = 1
@@ -84,7 +85,7 @@
 	return list
 }
 
-// schedulerConfig is a Config of two targets with two slots in each region.
+// schedulerConfig returns a Config with two targets of two slots each in both regions.
 func (f *fakeFleet) schedulerConfig() Config {
 	return Config{
 		Pools:   []target.Pool{{Name: "registru", Targets: append(targets("east", 2, 2), targets("west", 2, 2)...)}},
--- a/pkg/dispatch/latency.go
+++ b/pkg/dispatch/latency.go
@@ -3,56 +3,59 @@
 import "time"
 
 const (
-	// latencyWeight is the part of a new sample in a moving average.
+	// latencyWeight is the weight of a new sample in a moving average.
 	latencyWeight = 0.05
-	// unknownLatency stands in before the first sample.
-	unknownLatency = 50 * time.Millisecond
-	// leastCost and mostCost bound a request's cost in the queue.
-	leastCost = 1.0 / 16
-	mostCost  = 64
+	// defaultLatency is assumed before the first sample.
+	defaultLatency = 50 * time.Millisecond
+	// minRequestCost and maxRequestCost bound a request's cost in the queue.
+	minRequestCost = 1.0 / 16
+	maxRequestCost = 64
 )
 
-// average is a moving average of latencies; 0 before the first sample.
-type average time.Duration
+// movingAverage is an exponential moving average of latencies; 0 before the first sample.
+type movingAverage time.Duration
 
-func (a *average) observe(latency time.Duration) {
+func (a *movingAverage) add(latency time.Duration) {
 	if *a == 0 {
-		*a = average(latency)
+		*a = movingAverage(latency)
 		return
 	}
-	*a += average(latencyWeight * float64(latency-time.Duration(*a)))
+	*a += movingAverage(latencyWeight * float64(latency-time.Duration(*a)))
 }
 
-// observe takes in the latency of a good answer.
-func (p *pool) observe(route string, latency time.Duration) {
-	p.latency.observe(latency)
-	a := p.routes[route]
+// observeLatency adds the latency of a good response to the averages of the pool and of
+// the route.
+func (p *pool) observeLatency(route string, latency time.Duration) {
+	p.latency.add(latency)
+	a := p.routeLatency[route]
 	if a == nil {
-		a = new(average)
-		p.routes[route] = a
+		a = new(movingAverage)
+		p.routeLatency[route] = a
 	}
-	a.observe(latency)
+	a.add(latency)
 }
 
-// usualLatency is the average over the pool's answers.
-func (p *pool) usualLatency() time.Duration {
+// meanLatency returns the moving average over the pool's responses, or defaultLatency
+// before the first.
+func (p *pool) meanLatency() time.Duration {
 	if p.latency == 0 {
-		return unknownLatency
+		return defaultLatency
 	}
 	return time.Duration(p.latency)
 }
 
-// cost is how much longer than usual the requests of a route take.
+// cost returns the latency of the route relative to the latency of the pool, within
+// minRequestCost and maxRequestCost; 1 if either is unknown.
 func (p *pool) cost(route string) float64 {
-	a := p.routes[route]
+	a := p.routeLatency[route]
 	if a == nil || *a == 0 || p.latency == 0 {
 		return 1
 	}
-	return min(max(float64(*a)/float64(p.latency), leastCost), mostCost)
+	return min(max(float64(*a)/float64(p.latency), minRequestCost), maxRequestCost)
 }
 
-// comparable is the latency of a route's answer as if it were a usual one, so
-// that targets with other routes compare.
-func (p *pool) comparable(route string, latency time.Duration) time.Duration {
+// normalizedLatency divides a latency by the relative cost of the route, so that
+// targets that run different routes can be compared.
+func (p *pool) normalizedLatency(route string, latency time.Duration) time.Duration {
 	return time.Duration(float64(latency) / p.cost(route))
 }
--- a/pkg/dispatch/links.go
+++ b/pkg/dispatch/links.go
@@ -2,26 +2,27 @@
 
 import "sync/atomic"
 
-// links bounds the requests that run in other regions for this VM, over all
-// pools, so that hand-overs leave bandwidth to others.
+// links bounds the requests that this VM has in flight in each other region, over all
+// pools, so that hand-overs do not use up the bandwidth between the regions.
 type links struct {
-	requests int
-	running  map[string]*atomic.Int64
+	maxRequests int
+	running     map[string]*atomic.Int64
 }
 
-func newLinks(requests int, regions []string) *links {
-	l := &links{requests: requests, running: map[string]*atomic.Int64{}}
+func newLinks(maxRequests int, regions []string) *links {
+	l := &links{maxRequests: maxRequests, running: map[string]*atomic.Int64{}}
 	for _, r := range regions {
 		l.running[r] = &atomic.Int64{}
 	}
 	return l
 }
 
-// open reports whether one more request may go to the region. The given number
-// of VMs of this region have equal parts of the link; a silent VM keeps its part.
-func (l *links) open(region string, vms int) bool {
+// hasCapacity reports whether one more request may go to the region. regionVMs is the
+// number of VMs of this VM's region, which have equal shares of the link. A silent VM
+// keeps its share.
+func (l *links) hasCapacity(region string, regionVMs int) bool {
 	running := l.running[region]
-	return running != nil && running.Load() < int64(max(1, l.requests/vms))
+	return running != nil && running.Load() < int64(max(1, l.maxRequests/regionVMs))
 }
 
 func (l *links) add(region string, n int64) {
--- a/pkg/dispatch/peers.go
+++ b/pkg/dispatch/peers.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// refusedPauseBase is how long a peer gets nothing of a pool after it
-	// refused; it doubles with each refusal in a row.
+	// refusedPauseBase is how long a peer that refused a request of a pool gets no
+	// overflow of that pool. The pause doubles with each consecutive refusal.
 	refusedPauseBase = 50 * time.Millisecond
 	refusedPauseMax  = time.Second
 
-	// A window bounds the requests that a VM without targets has at a peer,
-	// whatever room the peer reports. It grows by one for each window of
-	// answers and shrinks with refusals.
+	// A window bounds the requests that a VM without usable targets has in flight at
+	// a peer, regardless of the free permits that the peer reports. It grows by one
+	// after as many successes as its size and shrinks after refusals.
 	windowStart    = 4
-	windowLeast    = 1
+	windowMin      = 1
 	windowDecrease = 0.8
-	// windowInterval is the least time between two decreases, so that one
-	// burst of refusals counts once.
+	// windowInterval is the least time between two decreases, so that a burst of
+	// refusals counts once.
 	windowInterval = 50 * time.Millisecond
 )
 
@@ -36,10 +36,11 @@
 	rand *rand.Rand
 
 	view *member.View
-	// zoneVMs is how many VMs of this region may run, with this one.
-	zoneVMs int
-	tiers   []tier
-	state   map[string]*peerState
+	// regionVMs is the number of VMs of this region that are not known to be dead,
+	// including this one.
+	regionVMs int
+	tiers     []tier
+	state     map[string]*peerState
 }
 
 func newPeers(c Config, pool string, seed uint64) peers {
@@ -49,10 +50,10 @@
 	}
 }
 
-// cost returns the one-way time to another VM of the region.
+// cost returns the one-way time from this VM to another VM in the region.
 func (c *Config) cost(region string) time.Duration {
 	if region == c.Self.Region {
-		return zoneCost
+		return sameRegionCost
 	}
 	if d, ok := c.RegionCost[region]; ok {
 		return d
@@ -60,25 +61,27 @@
 	return DefaultRegionCost
 }
 
-// tier holds the live peers at one cost.
+// tier holds the live peers that have the same cost.
 type tier struct {
 	cost  time.Duration
 	peers []*member.Peer
 }
 
-// peerState is what this VM knows of a peer from its own requests, which is
-// newer than the peer's heartbeat.
+// peerState is what this VM knows about a peer from its own requests. It is more recent
+// than the peer's heartbeat.
 type peerState struct {
 	running int
-	// shown is how many of the running ones its heartbeat can show.
-	shown       int
+	// inHeartbeat is how many of the running requests were in flight when the view last
+	// changed; the load in the peer's heartbeat may include them.
+	inHeartbeat int
 	refusals    int
 	pausedUntil clock.Time
 	window      float64
 	decreased   clock.Time
 }
 
-// update sorts the live peers by cost when the view has changed.
+// update groups the live peers by cost if the view has changed, and forgets the state of
+// peers that are no longer listed.
 func (p *peers) update(view *member.View) {
 	if p.view == view {
 		return
@@ -86,15 +89,15 @@
 	p.view = view
 	byCost := map[time.Duration][]*member.Peer{}
 	known := map[string]*peerState{}
-	p.zoneVMs = 1
+	p.regionVMs = 1
 	for i := range view.Peers {
 		peer := &view.Peers[i]
 		if old := p.state[peer.Incarnation]; old != nil {
-			old.shown = old.running
+			old.inHeartbeat = old.running
 			known[peer.Incarnation] = old
 		}
 		if peer.State != member.Gone && peer.Region == p.self.Region {
-			p.zoneVMs++
+			p.regionVMs++
 		}
 		if peer.State == member.Live && peer.Incarnation != p.self.Incarnation {
 			c := p.cost(peer.Region)
@@ -108,8 +111,8 @@
 	}
 }
 
-// of returns the state of a peer, which it makes where there is none.
-func (p *peers) of(peer *member.Peer) *peerState {
+// stateOf returns the state of a peer and creates it if there is none.
+func (p *peers) stateOf(peer *member.Peer) *peerState {
 	s := p.state[peer.Incarnation]
 	if s == nil {
 		s = &peerState{window: windowStart}
@@ -118,11 +121,11 @@
 	return s
 }
 
-// choose returns the better of two random peers with room at the least cost,
-// or nil. allowed excludes peers.
-func (p *peers) choose(mostCost time.Duration, room func(*member.Peer) float64, allowed func(*member.Peer) bool) *member.Peer {
+// choose picks two random peers of the lowest cost at which an allowed peer has room, and
+// returns the one with more room. It returns nil if there is none up to maxCost.
+func (p *peers) choose(maxCost time.Duration, room func(*member.Peer) float64, allowed func(*member.Peer) bool) *member.Peer {
 	for _, t := range p.tiers {
-		if t.cost > mostCost {
+		if t.cost > maxCost {
 			return nil
 		}
 		if peer := p.chooseFrom(t.peers, room, allowed); peer != nil {
@@ -153,9 +156,10 @@
 	return best
 }
 
-// reported is the room of a peer for what is too much here: what was free at
-// its last heartbeat less the requests that this VM has handed to it since.
-func (p *peers) reported(now clock.Time) func(*member.Peer) float64 {
+// reportedRoom returns a function for the room of a peer for overflow of this VM: the
+// free permits in its last heartbeat minus the requests that this VM has handed over to
+// it since. A peer that is paused after a refusal has no room.
+func (p *peers) reportedRoom(now clock.Time) func(*member.Peer) float64 {
 	return func(peer *member.Peer) float64 {
 		free := peer.FreePermits
 		if len(peer.Pools) > 0 {
@@ -166,14 +170,14 @@
 			if now.Before(s.pausedUntil) {
 				return 0
 			}
-			free -= max(0, s.running-s.shown)
+			free -= max(0, s.running-s.inHeartbeat)
 		}
 		return float64(free)
 	}
 }
 
-// permits is how many requests the peer may run at once, by its last heartbeat;
-// 1 where that does not say.
+// permits returns how many requests the peer may run at once according to its last
+// heartbeat, or 1 if the heartbeat does not tell.
 func (p *peers) permits(peer *member.Peer) float64 {
 	if len(peer.Pools) == 0 {
 		return 1
@@ -181,17 +185,18 @@
 	return float64(loadOf(peer, p.pool).Permits)
 }
 
-// windowed is the room of a peer for what cannot run here at all: the free part
-// of this VM's window there. A peer that says it can run nothing has none.
-func (p *peers) windowed(peer *member.Peer) float64 {
+// windowRoom returns the room of a peer for requests that cannot run in this VM's region
+// at all: the free fraction of this VM's window for the peer. A peer that reports no
+// permits has no room.
+func (p *peers) windowRoom(peer *member.Peer) float64 {
 	if p.permits(peer) == 0 {
 		return 0
 	}
-	s := p.of(peer)
+	s := p.stateOf(peer)
 	return (s.window - float64(s.running)) / s.window
 }
 
-// loadOf returns the peer's part of the pool at its last heartbeat.
+// loadOf returns the peer's load in the pool at its last heartbeat.
 func loadOf(peer *member.Peer, pool string) member.PoolLoad {
 	for _, l := range peer.Pools {
 		if l.Pool == pool {
@@ -201,19 +206,20 @@
 	return member.PoolLoad{Pool: pool}
 }
 
-// refused notes that the peer had no permit after all.
-func (s *peerState) refused(now clock.Time) {
+// recordRefusal pauses the peer and shrinks the window after the peer refused a request.
+func (s *peerState) recordRefusal(now clock.Time) {
 	pause := refusedPauseBase << min(s.refusals, 10)
 	s.pausedUntil = now.Add(min(pause, refusedPauseMax))
 	s.refusals++
 	if now.Sub(s.decreased) >= windowInterval {
 		s.decreased = now
-		s.window = max(windowLeast, s.window*windowDecrease)
+		s.window = max(windowMin, s.window*windowDecrease)
 	}
 }
 
-// ran notes that the peer ran a request, which was one of running.
-func (s *peerState) ran(running int) {
+// recordSuccess ends the row of refusals and grows the window if at least half of it was
+// in use. running includes the request that succeeded.
+func (s *peerState) recordSuccess(running int) {
 	s.refusals = 0
 	if float64(running) >= s.window/2 {
 		s.window += 1 / s.window
--- a/pkg/dispatch/permits_test.go
+++ b/pkg/dispatch/permits_test.go
@@ -13,27 +13,26 @@
 	"crocusramp.dev/crocusramp/pkg/target"
 )
 
-// running is a request of the property test, which ends by its deadline.
-type running struct {
-	vm       int
-	lent     *lent
-	deadline clock.Time
+// runningRequest is a running request of the property test, which ends by its deadline.
+type runningRequest struct {
+	vm         int
+	assignment *assignment
+	deadline   clock.Time
 }
 
-// warm ends the slow start of all targets.
-func (p *pool) warm() {
-	for _, b := range p.local {
+// endSlowStart records good responses until no target is limited by its slow start.
+func (p *pool) endSlowStart() {
+	for _, t := range p.localTargets {
 		for range 1000 {
-			b.health.RecordOutcome(0, health.Sample{Kind: health.Good, Latency: time.Millisecond, Running: b.Slots})
+			t.health.RecordOutcome(0, health.Sample{Kind: health.Good, Latency: time.Millisecond, Running: t.Slots})
 		}
 	}
 }
 
-// TestTargetsNeverGetMoreThanTheirSlots lets VMs grant and end requests while
-// their lease slots lapse and are taken over by others, and checks after each
-// grant that over all VMs no target runs more than its slots, and no VM needs
-// more than its part of the target's connections.
-func TestTargetsNeverGetMoreThanTheirSlots(t *testing.T) {
+// TestTargetsNeverExceedTheirSlots checks that over all VMs no target runs more requests
+// than it has slots, and that no VM needs more connections than the target accepts. The
+// VMs grant and end requests while lease slots expire and are taken over.
+func TestTargetsNeverExceedTheirSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const vms, slots, tgts = 3, 4, 2
 		f := newFleet()
@@ -47,42 +46,42 @@
 			c := f.schedulerConfig().withDefaults()
 			c.Regions = []string{"east"}
 			pools[i] = newPool(c, list[0], newLinks(1, c.Regions), uint64(i))
-			pools[i].warm()
+			pools[i].endSlowStart()
 		}
 		for i := range slots {
 			owner[i] = rapid.IntRange(0, vms-1).Draw(t, "owner")
 			held[i] = lease.Slot{Index: i, Region: "east", Until: forever, New: true}
 		}
-		// lapsed holds what a VM that was paused still believes it has.
-		lapsed := map[[2]int]lease.Slot{}
+		// expired holds expired slots that a VM still lists because it was paused.
+		expired := map[[2]int]lease.Slot{}
 		in := func(vm int) inputs {
 			h := &lease.Holding{Total: slots}
 			for i, o := range owner {
 				if o == vm {
 					h.Slots = append(h.Slots, held[i])
-				} else if old, ok := lapsed[[2]int{vm, i}]; ok {
+				} else if old, ok := expired[[2]int{vm, i}]; ok {
 					h.Slots = append(h.Slots, old)
 				}
 			}
 			return inputs{now: now, config: f.config, members: f.view, holding: h}
 		}
-		var active []running
+		var active []runningRequest
 		end := func(i int) {
 			r := active[i]
 			active = append(active[:i], active[i+1:]...)
-			pools[r.vm].release(in(r.vm), r.lent, done)
+			pools[r.vm].release(in(r.vm), r.assignment, done)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"acquire": func(t *rapid.T) {
 				vm := rapid.IntRange(0, vms-1).Draw(t, "vm")
 				deadline := now.Add(timeout)
 				for range rapid.IntRange(1, 8).Draw(t, "requests") {
-					l, ticket, _ := pools[vm].acquire(in(vm), &request{Request: f.request(""), deadline: deadline})
-					if ticket != nil {
-						pools[vm].abandon(now, ticket)
+					a, w, _ := pools[vm].acquire(in(vm), &request{Request: f.request(""), deadline: deadline})
+					if w != nil {
+						pools[vm].abandon(now, w)
 					}
-					if l != nil {
-						active = append(active, running{vm, l, deadline})
+					if a != nil {
+						active = append(active, runningRequest{vm, a, deadline})
 					}
 				}
 			},
@@ -95,7 +94,7 @@
 				i := rapid.IntRange(0, slots-1).Draw(t, "slot")
 				old := held[i]
 				old.Until = now
-				lapsed[[2]int{owner[i], i}] = old
+				expired[[2]int{owner[i], i}] = old
 				owner[i] = rapid.IntRange(0, vms-1).Draw(t, "owner")
 				held[i].Since, held[i].New = now, false
 			},
@@ -110,13 +109,13 @@
 			"": func(t *rapid.T) {
 				total := map[string]int{}
 				for vm, p := range pools {
-					for _, b := range p.local {
+					for _, b := range p.localTargets {
 						total[b.ID] += b.running
 						if n := total[b.ID]; n > b.Slots {
-							t.Fatalf("%s runs %d requests in %d slots", b.ID, n, b.Slots)
+							t.Fatalf("target %s runs %d requests, more than its %d slots", b.ID, n, b.Slots)
 						}
 						if limit := max(b.running, permit.Connections(b.Target, b.held)); limit > b.Connections {
-							t.Fatalf("vm %d needs %d connections", vm, limit)
+							t.Fatalf("VM %d needs %d connections to one target, more than the target accepts", vm, limit)
 						}
 					}
 				}
@@ -125,23 +124,23 @@
 	})
 }
 
-// TestSubsets checks that the VMs' parts of the connections to a target add up
-// to its limit at most, at the sizes of the brief.
-func TestSubsets(t *testing.T) {
+// TestConnectionSharesStayWithinLimit checks that the VMs' shares of the connections to a
+// target add up to at most its limit, in both reference fleets.
+func TestConnectionSharesStayWithinLimit(t *testing.T) {
 	for _, z := range []size{agencySize, studioSize} {
 		s := newSim(z, policyFull, 1)
 		s.tick()
 		for _, id := range s.ids {
 			sum := 0
 			for _, vm := range s.vms {
-				for _, b := range vm.pool.local {
+				for _, b := range vm.pool.localTargets {
 					if b.ID == id {
 						sum += permit.Connections(b.Target, b.held)
 					}
 				}
 			}
 			if limit := s.targets[id].Connections; sum > limit {
-				t.Errorf("%s: %d connections of %d", id, sum, limit)
+				t.Errorf("target %s: the VMs' shares add up to %d connections, more than the limit of %d", id, sum, limit)
 			}
 		}
 	}
--- a/pkg/dispatch/policy_test.go
+++ b/pkg/dispatch/policy_test.go
@@ -11,28 +11,27 @@
 	"crocusramp.dev/crocusramp/pkg/health"
 )
 
-// summary sums a run up, without the account that floods.
+// summary summarizes a run, without the client account that floods.
 type summary struct {
 	p50, p99 time.Duration
-	// worst is the least part of an account's requests that was done, and
-	// refused the part of all requests that was not. fair is the least part
-	// of what an account is due, its requests up to an equal part of the
-	// capacity.
-	worst, refused, fair float64
-	// most is the largest number of requests on a target, running and waiting
-	// in it.
-	most int
-	// headroom is the mean free part of the slots of the fullest region.
+	// minDone is the smallest fraction of its requests that any account got done.
+	// refused is the fraction of all requests that were not done. minFairDone is the
+	// smallest ratio of an account's done requests to its due: its requests, up to an
+	// equal share of the capacity.
+	minDone, refused, minFairDone float64
+	// maxOnTarget is the largest number of requests that ran or waited on one target.
+	maxOnTarget int
+	// headroom is the mean free fraction of the slots of the busiest region.
 	headroom float64
 }
 
 func (s summary) String() string {
 	return fmt.Sprintf("p50 %4d ms  p99 %5d ms  worst account %5.1f %% (of its due %5.1f %%)  refused %5.2f %%  headroom %4.1f %%  most on a target %d",
-		s.p50.Milliseconds(), s.p99.Milliseconds(), 100*s.worst, 100*s.fair, 100*s.refused, 100*s.headroom, s.most)
+		s.p50.Milliseconds(), s.p99.Milliseconds(), 100*s.minDone, 100*s.minFairDone, 100*s.refused, 100*s.headroom, s.maxOnTarget)
 }
 
 func (s *sim) summarize(flood string) summary {
-	sum := summary{worst: 1, fair: 1}
+	sum := summary{minDone: 1, minFairDone: 1}
 	share := float64(s.size.targets*s.size.slots) / simService.Seconds() / float64(len(accountShares)) *
 		s.now.Sub(s.countedFrom).Seconds()
 	var latency []time.Duration
@@ -44,8 +43,8 @@
 		latency = append(latency, t.latency...)
 		ended := t.done + t.refused
 		offered, done = offered+ended, done+t.done
-		sum.worst = min(sum.worst, float64(t.done)/float64(max(1, ended)))
-		sum.fair = min(sum.fair, float64(t.done)/max(1, min(float64(ended), share)))
+		sum.minDone = min(sum.minDone, float64(t.done)/float64(max(1, ended)))
+		sum.minFairDone = min(sum.minFairDone, float64(t.done)/max(1, min(float64(ended), share)))
 	}
 	slices.Sort(latency)
 	if len(latency) > 0 {
@@ -53,7 +52,7 @@
 	}
 	sum.refused = 1 - float64(done)/float64(max(1, offered))
 	for _, t := range s.targets {
-		sum.most = max(sum.most, t.most)
+		sum.maxOnTarget = max(sum.maxOnTarget, t.maxRequests)
 	}
 	for _, h := range s.headroom {
 		sum.headroom += h / float64(len(s.headroom))
@@ -61,11 +60,11 @@
 	return sum
 }
 
-// accountShares are the parts of the load of eight accounts, a few large.
+// accountShares are the shares of eight accounts in the load; a few are large.
 var accountShares = []float64{0.30, 0.20, 0.15, 0.10, 0.08, 0.07, 0.05, 0.05}
 
-// offerLoad starts all accounts at a part of the fleet's capacity; account 1
-// sends times as much.
+// offerLoad starts the load of all accounts, which together send the given fraction of the
+// fleet's capacity. Account 1 sends its share multiplied by times.
 func (s *sim) offerLoad(load, times float64) {
 	capacity := float64(s.size.targets*s.size.slots) / simService.Seconds()
 	for i, share := range accountShares {
@@ -77,7 +76,7 @@
 	}
 }
 
-// sizes are the settings to run; the short run leaves out the studio's.
+// sizes returns the fleets to simulate; -short leaves out studioSize.
 func sizes() []size {
 	if testing.Short() {
 		return []size{agencySize}
@@ -87,7 +86,7 @@
 
 const flooding = "account-1"
 
-// warmUp runs without counting, so that cold targets are no part of a result.
+// warmUp runs for d and discards the results, so that they do not include cold targets.
 func (s *sim) warmUp(d time.Duration) {
 	s.run(d)
 	s.countedFrom = s.now
@@ -97,11 +96,11 @@
 	}
 }
 
-// compare runs each policy with the same seed.
-func compare(t *testing.T, z size, policies []policy, scenario func(*sim)) map[policy]summary {
+// comparePolicies runs the scenario under each policy with the same seed.
+func comparePolicies(t *testing.T, z size, policies []policy, scenario func(*sim)) map[policy]summary {
 	results := map[policy]summary{}
 	if testing.Short() {
-		policies = policies[:1] // the others are for comparison only
+		policies = policies[:1] // the others only serve as a comparison
 	}
 	for _, p := range policies {
 		s := newSim(z, p, 7)
@@ -114,40 +113,41 @@
 
 var allPolicies = []policy{policyFull, policyFIFO, policyRandom, policyLeast}
 
-// TestOneAccountFloods has one account send five times its rate, without the
-// rate limit that would refuse it earlier: every other gets what it is due.
+// TestOneAccountFloods checks that the other accounts get their due while one sends five
+// times its rate. There is no rate limit here that would refuse its requests earlier.
 func TestOneAccountFloods(t *testing.T) {
 	for _, z := range sizes() {
-		got := compare(t, z, allPolicies, func(s *sim) {
+		got := comparePolicies(t, z, allPolicies, func(s *sim) {
 			s.offerLoad(0.7, 5)
 			s.warmUp(3 * time.Second)
 			s.run(12 * time.Second)
 		})
-		if full := got[policyFull]; full.fair < 0.99 || full.most > z.slots {
+		if full := got[policyFull]; full.minFairDone < 0.99 || full.maxOnTarget > z.slots {
 			t.Errorf("%s: %v", z.name, full)
 		}
 	}
 }
 
-// TestOrdinaryLoad compares the policies at 70 % load.
+// TestOrdinaryLoad compares the policies at 70 % load. Permits with the fair queue must
+// refuse no request.
 func TestOrdinaryLoad(t *testing.T) {
 	for _, z := range sizes() {
-		got := compare(t, z, allPolicies, func(s *sim) {
+		got := comparePolicies(t, z, allPolicies, func(s *sim) {
 			s.offerLoad(0.7, 1)
 			s.warmUp(3 * time.Second)
 			s.run(12 * time.Second)
 		})
-		if full := got[policyFull]; full.refused > 0 || full.most > z.slots {
+		if full := got[policyFull]; full.refused > 0 || full.maxOnTarget > z.slots {
 			t.Errorf("%s: %v", z.name, full)
 		}
 	}
 }
 
-// TestRegionFails has all targets of a region die at 60 % load, which leaves
-// the others 90 %: the requests fail over and no target gets too many.
+// TestRegionFails checks that requests fail over and that no target gets more requests than
+// slots when all targets of a region die at 60 % load, which puts 90 % on the others.
 func TestRegionFails(t *testing.T) {
 	for _, z := range sizes() {
-		got := compare(t, z, allPolicies, func(s *sim) {
+		got := comparePolicies(t, z, allPolicies, func(s *sim) {
 			s.offerLoad(0.6, 1)
 			s.warmUp(3 * time.Second)
 			s.run(2 * time.Second)
@@ -157,25 +157,25 @@
 			s.run(10 * time.Second)
 		})
 		full := got[policyFull]
-		if full.most > z.slots {
+		if full.maxOnTarget > z.slots {
 			t.Errorf("%s: %v", z.name, full)
 		}
 		for _, p := range []policy{policyRandom, policyLeast} {
 			if simple, ok := got[p]; ok && (full.refused > simple.refused || full.p99 > simple.p99) {
-				t.Errorf("%s: worse than %s: %v", z.name, p, full)
+				t.Errorf("%s: worse than policy %q: %v", z.name, p, full)
 			}
 		}
 	}
 }
 
-// TestReportsMislead has load reports say what is not so: they may not take
-// the pool away, whatever all of them say.
-func TestReportsMislead(t *testing.T) {
+// TestMisleadingReports checks that wrong load reports neither make requests fail nor
+// overload a target, even if the reports of all targets are wrong.
+func TestMisleadingReports(t *testing.T) {
 	for name, report := range map[string]func(*simTarget) health.Report{
-		"all down":     func(*simTarget) health.Report { return health.Report{State: health.StateOK} },
-		"all ill":      func(t *simTarget) health.Report { return health.Report{Slots: t.Slots, Unhealthy: true} },
-		"all idle":     func(t *simTarget) health.Report { return health.Report{Slots: 100 * t.Slots} },
-		"running lags": func(t *simTarget) health.Report { return health.Report{Slots: t.Slots, Running: t.reported} },
+		"all down":      func(*simTarget) health.Report { return health.Report{State: health.StateOK} },
+		"all unhealthy": func(t *simTarget) health.Report { return health.Report{Slots: t.Slots, Unhealthy: true} },
+		"all idle":      func(t *simTarget) health.Report { return health.Report{Slots: 100 * t.Slots} },
+		"running lags":  func(t *simTarget) health.Report { return health.Report{Slots: t.Slots, Running: t.reported} },
 	} {
 		s := newSim(agencySize, policyFull, 7)
 		s.report = report
@@ -184,26 +184,26 @@
 		s.run(5 * time.Second)
 		sum := s.summarize(flooding)
 		t.Logf("%-12s %v", name, sum)
-		if sum.refused > 0 || sum.most > s.size.slots {
+		if sum.refused > 0 || sum.maxOnTarget > s.size.slots {
 			t.Errorf("%s: %v", name, sum)
 		}
 	}
 }
 
-// TestTargetsLeave has a failure domain's targets in each region say that they
-// drain: they get nothing new after a report, and the others carry the load.
-func TestTargetsLeave(t *testing.T) {
+// TestDrainingTargets checks that targets that report to be draining, one failure domain in
+// each region, get no new requests after the report, and that the others carry the load.
+func TestDrainingTargets(t *testing.T) {
 	s := newSim(agencySize, policyFull, 7)
-	leaving := func(t *simTarget) bool { return t.FailureDomain == t.Region+"-1" }
+	draining := func(t *simTarget) bool { return t.FailureDomain == t.Region+"-1" }
 	s.offerLoad(0.4, 1)
 	s.warmUp(3 * time.Second)
 	s.report = func(t *simTarget) health.Report {
-		if leaving(t) {
+		if draining(t) {
 			return health.Report{Slots: t.Slots, State: health.StateDraining}
 		}
 		return health.Report{Slots: t.Slots, State: health.StateOK}
 	}
-	const bound = 2 * time.Second // the promise of the brief: a few seconds
+	const bound = 2 * time.Second // the requirement is a few seconds
 	s.run(bound)
 	before := map[string]int{}
 	for id, target := range s.targets {
@@ -211,8 +211,8 @@
 	}
 	s.run(5 * time.Second)
 	for id, target := range s.targets {
-		if got := target.served - before[id]; leaving(target) != (got == 0) {
-			t.Errorf("%s: %d requests after it said that it leaves", id, got)
+		if got := target.served - before[id]; draining(target) != (got == 0) {
+			t.Errorf("target %s ran %d requests after the reports; want none if it is draining, else some", id, got)
 		}
 	}
 	if sum := s.summarize(flooding); sum.refused > 0 {
@@ -220,18 +220,18 @@
 	}
 }
 
-// TestColdRestart has the targets of a failure domain in each region restart
-// cold, so that their first requests take four times as long.
+// TestColdRestart logs the results of the policies while the targets of one failure domain
+// in each region restart cold, so that their first requests take four times as long.
 func TestColdRestart(t *testing.T) {
 	for _, z := range sizes() {
-		compare(t, z, allPolicies[:3], func(s *sim) {
+		comparePolicies(t, z, allPolicies[:3], func(s *sim) {
 			s.offerLoad(0.6, 1)
 			s.warmUp(3 * time.Second)
 			restarts := func(dead bool) {
 				for _, target := range s.targets {
 					if target.FailureDomain == target.Region+"-1" {
 						target.dead = dead
-						target.coldFor = target.served + 200
+						target.coldUntilServed = target.served + 200
 					}
 				}
 			}
@@ -243,8 +243,8 @@
 	}
 }
 
-// TestShiftToColdRegion shifts up to half of a region's requests to a region
-// whose targets are cold.
+// TestShiftToColdRegion checks that a shift to a region with cold targets keeps its cap of
+// half of the requests, overloads no target and makes no request fail.
 func TestShiftToColdRegion(t *testing.T) {
 	for _, z := range sizes() {
 		s := newSim(z, policyFull, 7)
@@ -255,7 +255,7 @@
 		s.config = &cfg
 		for _, target := range s.targets {
 			if target.Region == z.regions[1] {
-				target.coldFor = target.served + 100
+				target.coldUntilServed = target.served + 100
 			}
 		}
 		var seen, shifted int64
@@ -273,14 +273,14 @@
 		}
 		sum := s.summarize("")
 		t.Logf("%-7s shifted %d of %d  %v", z.name, shifted, seen, sum)
-		if sum.refused > 0 || sum.most > z.slots {
+		if sum.refused > 0 || sum.maxOnTarget > z.slots {
 			t.Errorf("%s: %v", z.name, sum)
 		}
 	}
 }
 
-// TestRegionDrains has an operator drain a region: it gets nothing new
-// once the configuration is there, what runs ends, and nothing is refused.
+// TestRegionDrains checks that a region that an operator drains gets no new requests once
+// the configuration has arrived, completes the running ones, and that no request is refused.
 func TestRegionDrains(t *testing.T) {
 	for _, z := range sizes() {
 		for seed := range uint64(5) {
@@ -291,7 +291,7 @@
 			cfg.Drains = map[string]*config.Drain{"d": {Name: "d", Kind: config.DrainRegion, Subject: z.regions[0]}}
 			s.config = &cfg
 			started := s.now
-			s.run(z.zone) // for requests that are on their way
+			s.run(z.sameRegionDelay) // for requests in flight to a target
 			served := s.servedIn(z.regions[0])
 			for s.runningIn(z.regions[0]) > 0 {
 				s.run(10 * time.Millisecond)
@@ -299,11 +299,11 @@
 			drained := s.now.Sub(started)
 			s.run(7 * time.Second)
 			if n := s.servedIn(z.regions[0]) - served; n > 0 {
-				t.Errorf("%s, seed %d: %d requests after the drain", z.name, seed, n)
+				t.Errorf("%s, seed %d: %d requests started after the drain", z.name, seed, n)
 			}
 			sum := s.summarize("")
 			t.Logf("%-7s drained in %v  %v", z.name, drained, sum)
-			if sum.refused > 0 || sum.most > z.slots {
+			if sum.refused > 0 || sum.maxOnTarget > z.slots {
 				t.Errorf("%s, seed %d: %v", z.name, seed, sum)
 			}
 		}
@@ -330,8 +330,9 @@
 	return n
 }
 
-// TestPriorities has archive queries that take 25 times as long and ask for
-// more than the whole capacity, beside look-ups and a few stamps.
+// TestPriorities checks that requests of the high class (stamps) and of the normal class
+// (look-ups) are done while archive queries of the low class, which take 25 times as long,
+// ask for more than the whole capacity. Some archive queries must be done as well.
 func TestPriorities(t *testing.T) {
 	for _, z := range sizes() {
 		policies := []policy{policyFull, policyFIFO}
@@ -349,7 +350,7 @@
 			s.warmUp(10 * time.Second)
 			s.run(20 * time.Second)
 			for _, kind := range []string{"stamps", "lookups", "archive"} {
-				k := s.kind(kind)
+				k := s.summarizeKind(kind)
 				t.Logf("%-7s %-24s %-8s %v", z.name, p, kind, k)
 				if p != policyFull {
 					continue
@@ -362,18 +363,18 @@
 	}
 }
 
-// ends are the results of the accounts of one kind.
-type ends struct {
+// kindSummary summarizes the results of the accounts of one kind.
+type kindSummary struct {
 	p50, p99    time.Duration
 	done, ended int
 }
 
-func (e ends) String() string {
+func (e kindSummary) String() string {
 	return fmt.Sprintf("p50 %4d  p99 %5d ms, done %d of %d", e.p50.Milliseconds(), e.p99.Milliseconds(), e.done, e.ended)
 }
 
-func (s *sim) kind(prefix string) ends {
-	var e ends
+func (s *sim) summarizeKind(prefix string) kindSummary {
+	var e kindSummary
 	var latency []time.Duration
 	for name, t := range s.results {
 		if strings.HasPrefix(name, prefix) {
--- a/pkg/dispatch/poll.go
+++ b/pkg/dispatch/poll.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// pollTimeout bounds one question to a target.
+	// pollTimeout bounds one HTTP request of a poll.
 	pollTimeout = time.Second
-	// maxReportBytes bounds a target's answer.
+	// maxReportBytes bounds the response that is read; the rest is ignored.
 	maxReportBytes = 4096
 
 	loadPath   = "/load"
 	healthPath = "/healthz"
 )
 
-// newPollClient returns a client that keeps no connection open, since those
-// would take from what the target accepts, and that uses no proxy.
+// newPollClient returns a client that uses no proxy and keeps no connection open, since
+// idle connections would count towards the connections that the target accepts.
 func newPollClient() *http.Client {
 	return &http.Client{Timeout: pollTimeout, Transport: &http.Transport{DisableKeepAlives: true, MaxConnsPerHost: 1}}
 }
 
-// errNoReport reports that a target has no load endpoint.
+// errNoReport is returned for a target without a load endpoint.
 var errNoReport = errors.New("target has no load endpoint")
 
-// startPolling asks each target of this region for its load and health,
-// spread over the interval.
+// startPolling starts a goroutine for each target of this region that polls its load and
+// health. The first polls are spread over the interval.
 func (s *Scheduler) startPolling(ctx context.Context) {
 	for _, p := range s.pools {
-		for _, b := range p.pool.local {
-			go s.poll(ctx, p, b)
+		for _, t := range p.pool.localTargets {
+			go s.poll(ctx, p, t)
 		}
 	}
 }
 
-func (s *Scheduler) poll(ctx context.Context, p *lockedPool, b *backend) {
+func (s *Scheduler) poll(ctx context.Context, p *lockedPool, t *localTarget) {
 	interval := s.config.PollInterval
 	timer := time.NewTimer(rand.N(interval))
 	defer timer.Stop()
@@ -51,36 +51,36 @@
 		case <-ctx.Done():
 			return
 		}
-		s.pollOnce(ctx, p, b)
-		// The jitter keeps the VMs of a fleet from asking in step.
+		s.pollOnce(ctx, p, t)
+		// The jitter keeps the VMs of the fleet from polling a target at the same time.
 		timer.Reset(interval*9/10 + rand.N(interval/5+1))
 	}
 }
 
-// pollOnce takes in one report of a target for which this VM holds permits. A
-// target that cannot be asked is left as it was: only requests tell whether it
-// can be reached.
-func (s *Scheduler) pollOnce(ctx context.Context, p *lockedPool, b *backend) {
+// pollOnce polls a target for which this VM holds permits and applies its report. A
+// failed poll changes nothing: only requests tell whether the target is reachable.
+func (s *Scheduler) pollOnce(ctx context.Context, p *lockedPool, t *localTarget) {
 	p.mu.Lock()
-	held := b.held
+	held := t.held
 	p.mu.Unlock()
 	if held == 0 {
 		return
 	}
-	r, err := s.report(ctx, b.Address, b.Slots)
+	r, err := s.fetchReport(ctx, t.Address, t.Slots)
 	if err != nil {
 		if ctx.Err() == nil {
-			s.config.Log.Debug().Err(err).Str("target", b.ID).Msg("load report failed")
+			s.config.Log.Debug().Err(err).Str("target", t.ID).Msg("polling the load and health of the target failed")
 		}
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b.health.ApplyReport(s.config.Clock.Now(), r)
+	t.health.ApplyReport(s.config.Clock.Now(), r)
 }
 
-// report asks the target for its load and its health.
-func (s *Scheduler) report(ctx context.Context, address string, slots int) (health.Report, error) {
+// fetchReport polls the target's load and health. A target without a load endpoint yields a
+// report only if it is unhealthy.
+func (s *Scheduler) fetchReport(ctx context.Context, address string, slots int) (health.Report, error) {
 	r := health.Report{Slots: slots, State: health.StateOK}
 	status, body, err := s.get(ctx, address, loadPath)
 	if err != nil {
--- a/pkg/dispatch/poll_test.go
+++ b/pkg/dispatch/poll_test.go
@@ -12,9 +12,9 @@
 	"crocusramp.dev/crocusramp/pkg/config"
 )
 
-// TestPollTakesInReports runs the polling against real HTTP targets and waits
-// for what it should find; the bounds are long and only met by a failure.
-func TestPollTakesInReports(t *testing.T) {
+// TestPollAppliesReports polls a real HTTP target and waits for the expected status after
+// each change of its reports. The timeout is long; only a failure reaches it.
+func TestPollAppliesReports(t *testing.T) {
 	var load, healthz atomic.Value
 	load.Store(`{"running":1,"slots":2,"state":"ok"}`)
 	healthz.Store(http.StatusOK)
@@ -31,7 +31,7 @@
 	c.PollInterval = 10 * time.Millisecond
 	c.Pools[0].Targets[0].Address = strings.TrimPrefix(server.URL, "http://")
 	s := NewScheduler(c)
-	s.FreePermits() // takes in the lease slots
+	s.FreePermits() // applies the lease slots, without which the target is not polled
 	s.Start(t.Context())
 	for _, step := range []struct {
 		load   string
@@ -48,19 +48,19 @@
 		deadline := time.Now().Add(20 * time.Second)
 		for !step.want(s.Status().Pools[0].Targets[0]) {
 			if time.Now().After(deadline) {
-				t.Fatalf("%s, health %d: %+v", step.load, step.health, s.Status().Pools[0].Targets[0])
+				t.Fatalf("load %s, health status %d: target status is %+v", step.load, step.health, s.Status().Pools[0].Targets[0])
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// TestLinkBudget checks that a VM that can run nothing has no more requests in
-// another region than its part of the link.
+// TestLinkBudget checks that a VM without usable targets has no more requests in flight in
+// another region than its share of the link.
 func TestLinkBudget(t *testing.T) {
 	f := newFleet()
 	c := f.schedulerConfig()
-	c.LinkRequests = 6
+	c.MaxLinkRequests = 6
 	s := NewScheduler(c)
 	f.change(map[string]*config.Drain{"d": {Name: "d", Kind: config.DrainRegion, Subject: "east"}},
 		peerVM(1, "east", 0), peerVM(2, "west", 100), peerVM(3, "west", 100))
@@ -68,15 +68,15 @@
 	in := s.inputs()
 	running := 0
 	for range 10 {
-		l, ticket, refusal := p.acquire(in, &request{Request: f.request(""), deadline: in.now.Add(time.Minute)})
+		a, w, refusal := p.acquire(in, &request{Request: f.request(""), deadline: in.now.Add(time.Minute)})
 		if refusal != nil {
 			t.Fatal(refusal)
 		}
-		if l != nil || ticket.lent != nil {
+		if a != nil || w.assignment != nil {
 			running++
 		}
 	}
 	if running != 3 {
-		t.Errorf("%d requests in the other region, want half of %d", running, c.LinkRequests)
+		t.Errorf("%d requests in flight in the other region, want half of %d", running, c.MaxLinkRequests)
 	}
 }
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	// historyLength is how many requests that may come again are remembered.
-	historyLength = 4096
-	// lowReserve is the part of the permits, as a divisor, that requests of the
-	// low class leave free.
-	lowReserve = 5
-	// lowReserveTime is how long they do so after the last more urgent request.
+	// retryHistorySize is the number of requests that may be retried to remember.
+	retryHistorySize = 4096
+	// lowReserveDivisor sets the fraction of the permits that requests of the low
+	// class leave free: 1/lowReserveDivisor.
+	lowReserveDivisor = 5
+	// lowReserveTime is how long they leave them free after the last request of a higher
+	// class.
 	lowReserveTime = 10 * time.Second
-	// leastRetryAfter and mostRetryAfter bound what refusals say.
-	leastRetryAfter = 50 * time.Millisecond
-	mostRetryAfter  = 5 * time.Second
+	// minRetryAfter and maxRetryAfter bound the retry delay in refusals.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
 )
 
-// inputs is what a decision reads besides the pool's own state.
+// inputs is what a decision depends on besides the pool's own state.
 type inputs struct {
 	now     clock.Time
 	config  *config.Config
@@ -38,9 +39,10 @@
 	holding *lease.Holding
 }
 
-// lent is the right that a grant stands for, until its release.
-type lent struct {
-	backend *backend
+// assignment is where a granted request runs, until its release: on a target under a
+// permit of a lease slot, or at a peer. shift is set if a traffic shift moved it.
+type assignment struct {
+	target  *localTarget
 	slot    int
 	peer    *member.Peer
 	shift   *shift
@@ -48,7 +50,8 @@
 	started clock.Time
 }
 
-// request is a Request with its deadline on the pool's clock.
+// request is a Request with its queue class, its deadline on the pool's clock and the
+// peers that refused it.
 type request struct {
 	*Request
 	class    queue.Class
@@ -57,91 +60,92 @@
 	refusedBy []string
 }
 
-// ticket is a waiting request. Once decided, lent or refusal is set.
-type ticket struct {
-	request *request
-	entry   *entry
-	lent    *lent
-	refusal *outcome.Refusal
-	// decided is for the owner of the pool, which closes it.
+// waiter is a queued request. Once it is decided, either assignment or refusal is set.
+type waiter struct {
+	request    *request
+	entry      *entry
+	assignment *assignment
+	refusal    *outcome.Refusal
+	// decided is closed when the pool has decided on the request, but not by abandon.
 	decided chan struct{}
 }
 
-type entry = queue.Entry[*ticket]
+type entry = queue.Entry[*waiter]
 
-// pool is the state machine that dispatches the requests of one pool on one
-// VM. It has no clock, I/O or goroutine; its owner serializes the calls.
+// pool is the state machine that dispatches the requests of one pool on one VM. It reads
+// no clock, does no I/O and starts no goroutines. The caller must serialize the calls.
 type pool struct {
-	name     string
-	settings Config
-	targets  []target.Target
-	local    []*backend
-	peers    peers
-	links    *links
-	queue    *queue.Queue[*ticket]
-	shifts   []*shift
-	latency  average
-	routes   map[string]*average
-	// retried maps the ID of a request that may come again to the peers
-	// that refused it.
+	name         string
+	settings     Config
+	targets      []target.Target
+	localTargets []*localTarget
+	peers        peers
+	links        *links
+	queue        *queue.Queue[*waiter]
+	shifts       []*shift
+	latency      movingAverage
+	routeLatency map[string]*movingAverage
+	// retried maps the ID of a request that may be retried to the incarnations of the
+	// peers that refused it.
 	retried *simplelru.LRU[string, []string]
 
 	config   *config.Config
 	holdDown time.Duration
-	// openIn holds the regions with targets that are not drained.
-	openIn     map[string]bool
-	drainedVMs map[string]bool
-	layout     []string
-	usable     []int
-	scratch    []int
-	// retired is when lease slots were given up; a slot that was taken again
-	// since may be used.
+	// undrainedRegions holds the regions with at least one target that is not drained.
+	undrainedRegions map[string]bool
+	drainedVMs       map[string]bool
+	slotRegions      []string
+	usableSlots      []int
+	usableScratch    []int
+	// retired is when this VM gave up lease slots. A slot that it has taken again since
+	// then may be used.
 	retired map[int]clock.Time
-	// believing is whether targets that claim to be down are believed.
-	believing bool
-	// urgent is whether a request above the low class has come yet.
-	urgent     bool
+	// trustDownReports tells whether to believe targets that report to be down.
+	trustDownReports bool
+	// seenUrgent is set once a request above the low class has arrived; lastUrgent is
+	// when the last one did.
+	seenUrgent bool
 	lastUrgent clock.Time
 	counts     counts
 }
 
-// counts are the totals of a pool since its start.
+// counts are the totals of a pool since the start of the process.
 type counts struct {
 	granted, handedOver, queued, refused, expired int64
 }
 
 func newPool(c Config, p target.Pool, l *links, seed uint64) *pool {
-	retried, err := simplelru.NewLRU[string, []string](historyLength, nil)
+	retried, err := simplelru.NewLRU[string, []string](retryHistorySize, nil)
 	if err != nil {
 		panic(err) // only a size below 1 fails
 	}
 	s := &pool{
-		name: p.Name, settings: c, targets: p.Targets, links: l, retried: retried, retired: map[int]clock.Time{}, routes: map[string]*average{}, believing: true,
+		name: p.Name, settings: c, targets: p.Targets, links: l, retried: retried, retired: map[int]clock.Time{}, routeLatency: map[string]*movingAverage{}, trustDownReports: true,
 		peers: newPeers(c, p.Name, seed),
-		queue: queue.New[*ticket](queue.Config{Capacity: c.QueueCapacity, MinShares: queue.DefaultMinShares}),
+		queue: queue.New[*waiter](queue.Config{Capacity: c.QueueCapacity, MinShares: queue.DefaultMinShares}),
 	}
 	for _, t := range p.Targets {
 		if t.Region == c.Self.Region {
-			s.local = append(s.local, &backend{Target: t})
+			s.localTargets = append(s.localTargets, &localTarget{Target: t})
 		}
 	}
 	return s
 }
 
-// update takes in what has changed: configuration, members and lease slots.
+// update applies changes of the configuration, the members and the lease slots.
 func (p *pool) update(in inputs) {
 	p.peers.update(in.members)
 	if p.config != in.config {
 		p.configure(in)
 	}
-	if len(p.layout) != in.holding.Total {
-		p.layout = permit.SlotRegions(p.settings.Regions, in.holding.Total)
+	if len(p.slotRegions) != in.holding.Total {
+		p.slotRegions = permit.SlotRegions(p.settings.Regions, in.holding.Total)
 	}
-	p.scratch = usableSlots(p.scratch[:0], in.holding, p.layout, p.settings.Self.Region, in.now, p.holdDown, p.retired)
-	if !slices.Equal(p.scratch, p.usable) {
-		p.usable = append(p.usable[:0], p.scratch...)
-		for _, b := range p.local {
-			b.hold(p.usable, p.layout)
+	p.usableScratch = usableSlots(p.usableScratch[:0], in.holding, p.slotRegions, p.settings.Self.Region, in.now, p.holdDown, p.retired)
+	if !slices.Equal(p.usableScratch, p.usableSlots) {
+		p.usableSlots = append(p.usableSlots[:0], p.usableScratch...)
+		for _, t := range p.localTargets {
+			t.setUsableSlots(p.usableSlots, p.slotRegions)
 		}
 	}
 }
@@ -149,45 +153,46 @@
 func (p *pool) configure(in inputs) {
 	p.config = in.config
 	p.holdDown = min(p.settings.MaxHoldDown, longestTimeout(in.config, p.name))
-	p.shifts = shiftsOf(in.config, p.name, p.settings.Self.Region, p.shifts, in.now)
+	p.shifts = updateShifts(in.config, p.name, p.settings.Self.Region, p.shifts, in.now)
 	p.drainedVMs = drainedVMs(in.config)
-	p.openIn = map[string]bool{}
+	p.undrainedRegions = map[string]bool{}
 	for _, t := range p.targets {
 		if !drained(in.config, t) {
-			p.openIn[t.Region] = true
+			p.undrainedRegions[t.Region] = true
 		}
 	}
-	for _, b := range p.local {
-		b.drained = drained(in.config, b.Target)
+	for _, t := range p.localTargets {
+		t.drained = drained(in.config, t.Target)
 	}
 }
 
-// acquire decides on a request: exactly one of its results is set.
-func (p *pool) acquire(in inputs, r *request) (*lent, *ticket, *outcome.Refusal) {
+// acquire assigns, queues or refuses a request: exactly one of its results is set.
+func (p *pool) acquire(in inputs, r *request) (*assignment, *waiter, *outcome.Refusal) {
 	p.update(in)
-	if !r.HandedOver && !p.recall(r) {
-		if l := p.tryShift(in, r); l != nil {
-			return l, nil, nil
+	if !r.HandedOver && !p.restoreRefusals(r) {
+		if a := p.tryShift(in, r); a != nil {
+			return a, nil, nil
 		}
 	}
 	if r.class != queue.Low {
-		p.urgent, p.lastUrgent = true, in.now
+		p.seenUrgent, p.lastUrgent = true, in.now
 	}
-	if p.queue.Len() == 0 && (r.class != queue.Low || p.roomForLow(in.now)) {
-		if b := p.pick(in.now, r.Tried); b != nil {
-			return p.lend(in.now, b, r), nil, nil
+	if p.queue.Len() == 0 && (r.class != queue.Low || p.hasRoomForLow(in.now)) {
+		if t := p.pick(in.now, r.Tried); t != nil {
+			return p.grantTarget(in.now, t, r), nil, nil
 		}
 	}
-	l, t, refusal := p.wait(in, r)
-	if t == nil {
-		return l, nil, refusal
+	a, w, refusal := p.enqueue(in, r)
+	if w == nil {
+		return a, nil, refusal
 	}
-	p.serve(in) // requests of the low class may wait although permits are free
-	return nil, t, nil
+	p.serveQueue(in) // requests of the low class may wait although permits are free
+	return nil, w, nil
 }
 
-// recall completes a request that was here before.
-func (p *pool) recall(r *request) bool {
+// restoreRefusals sets the peers that refused earlier attempts of the request, and
+// reports whether the request is a retry.
+func (p *pool) restoreRefusals(r *request) bool {
 	if p.retried.Len() == 0 || r.ID == "" {
 		return len(r.Tried) > 0
 	}
@@ -196,42 +201,43 @@
 	return ok || len(r.Tried) > 0
 }
 
-// tryShift counts the request with the shifts out of this region and moves it
-// where one is due.
-func (p *pool) tryShift(in inputs, r *request) *lent {
-	var moved *lent
+// tryShift counts the request in all shifts out of this region and hands it over if one of
+// them may move a request now. It returns nil if the request stays.
+func (p *pool) tryShift(in inputs, r *request) *assignment {
+	var moved *assignment
 	for _, s := range p.shifts {
-		s.see()
-		if moved != nil || !s.due() {
+		s.countSeen()
+		if moved != nil || !s.hasCredit() {
 			continue
 		}
-		peer := p.peers.choose(math.MaxInt64, p.peers.reported(in.now), func(peer *member.Peer) bool {
+		peer := p.peers.choose(math.MaxInt64, p.peers.reportedRoom(in.now), func(peer *member.Peer) bool {
 			return peer.Region == s.To && p.reachable(in, r, peer)
 		})
 		if peer == nil {
 			continue
 		}
-		s.spend()
+		s.spendCredit()
 		moved = p.handOver(in.now, peer, r)
 		moved.shift = s
 	}
 	return moved
 }
 
-// overflow hands the request to a peer, or returns nil: from a busy VM to one
-// that reports room and is nearer than the end of the wait here, from a VM
-// where nothing can run to any.
-func (p *pool) overflow(in inputs, r *request, wait time.Duration) *lent {
+// tryHandOver hands the request over to a peer, or returns nil. If this VM is busy, it
+// chooses a peer that reports free permits and that is reached and back before the
+// estimated wait here ends. If this VM has no usable target, it chooses any peer
+// within the window.
+func (p *pool) tryHandOver(in inputs, r *request, wait time.Duration) *assignment {
 	if r.HandedOver {
 		return nil
 	}
-	evacuating := p.unreachable(in.now)
-	mostCost, room := wait/2, p.peers.reported(in.now) // there and back
-	if evacuating {
-		mostCost, room = math.MaxInt64, p.peers.windowed
+	noUsableTarget := p.hasNoUsableTarget(in.now)
+	maxCost, room := wait/2, p.peers.reportedRoom(in.now) // the wait must cover the way there and back
+	if noUsableTarget {
+		maxCost, room = math.MaxInt64, p.peers.windowRoom
 	}
-	peer := p.peers.choose(mostCost, room, func(peer *member.Peer) bool {
-		return p.reachable(in, r, peer) && (evacuating || !p.capped(peer.Region))
+	peer := p.peers.choose(maxCost, room, func(peer *member.Peer) bool {
+		return p.reachable(in, r, peer) && (noUsableTarget || !p.atShiftCap(peer.Region))
 	})
 	if peer == nil {
 		return nil
@@ -240,91 +246,93 @@
 		if s.To != peer.Region {
 			continue
 		}
-		if evacuating {
+		if noUsableTarget {
 			s.evacuated++
 		} else {
-			s.spend()
+			s.spendCredit()
 		}
 	}
 	return p.handOver(in.now, peer, r)
 }
 
-// reachable reports whether the request may go to the peer: neither it nor all
-// targets of its region are drained, and bandwidth to it is left.
+// reachable reports whether the request may go to the peer: the peer is not drained and
+// did not refuse the request, its region has targets that are not drained, and the link
+// to the region has capacity.
 func (p *pool) reachable(in inputs, r *request, peer *member.Peer) bool {
-	if !p.openIn[peer.Region] || p.drainedVMs[peer.ID] || slices.Contains(r.refusedBy, peer.Incarnation) {
+	if !p.undrainedRegions[peer.Region] || p.drainedVMs[peer.ID] || slices.Contains(r.refusedBy, peer.Incarnation) {
 		return false
 	}
-	return peer.Region == p.settings.Self.Region || p.links.open(peer.Region, p.peers.zoneVMs)
+	return peer.Region == p.settings.Self.Region || p.links.hasCapacity(peer.Region, p.peers.regionVMs)
 }
 
-// capped reports whether a shift keeps more requests from the region. Requests
-// that go there only because this VM is busy count as shifted: they load the
-// destination alike. Requests that can run nowhere here are not kept back.
-func (p *pool) capped(region string) bool {
+// atShiftCap reports whether the cap of a shift keeps further requests from the region.
+// Requests that go there only because this VM is busy count as shifted, because they
+// load the destination in the same way. The cap does not apply to requests that cannot
+// run in this region at all.
+func (p *pool) atShiftCap(region string) bool {
 	for _, s := range p.shifts {
-		if s.To == region && !s.due() {
+		if s.To == region && !s.hasCredit() {
 			return true
 		}
 	}
 	return false
 }
 
-// pick returns the backend with a free permit that is the least loaded for its
-// latency, or nil. Targets that failed the request are left out.
-func (p *pool) pick(now clock.Time, tried []string) *backend {
-	if len(p.local) == 0 {
+// pick returns the target with a free permit and the lowest estimated latency, or nil. It
+// skips the targets in tried, on which the request failed.
+func (p *pool) pick(now clock.Time, tried []string) *localTarget {
+	if len(p.localTargets) == 0 {
 		return nil
 	}
-	var best *backend
+	var best *localTarget
 	var bestLoad float64
-	start := p.peers.rand.IntN(len(p.local))
-	for i := range p.local {
-		b := p.local[(start+i)%len(p.local)]
-		if b.free() == 0 || b.running >= b.allowed(now, p.believing) || slices.Contains(tried, b.ID) {
+	start := p.peers.rand.IntN(len(p.localTargets))
+	for i := range p.localTargets {
+		t := p.localTargets[(start+i)%len(p.localTargets)]
+		if t.freePermits() == 0 || t.running >= t.allowed(now, p.trustDownReports) || slices.Contains(tried, t.ID) {
 			continue
 		}
-		if load := p.load(b); best == nil || load < bestLoad {
-			best, bestLoad = b, load
+		if load := p.load(t); best == nil || load < bestLoad {
+			best, bestLoad = t, load
 		}
 	}
 	return best
 }
 
-// load estimates the relative time to an answer from the backend.
-func (p *pool) load(b *backend) float64 {
-	latency := b.health.Latency()
+// load estimates the relative latency of one more request on the target.
+func (p *pool) load(t *localTarget) float64 {
+	latency := t.health.Latency()
 	if latency == 0 {
-		latency = p.usualLatency()
+		latency = p.meanLatency()
 	}
-	return float64(latency) * float64(b.running+1) / float64(b.held)
+	return float64(latency) * float64(t.running+1) / float64(t.held)
 }
 
-// capacity returns how many requests may run here at once now.
+// capacity returns how many requests may now run at once under this VM's permits.
 func (p *pool) capacity(now clock.Time) int {
 	n := 0
-	for _, b := range p.local {
-		n += b.allowed(now, p.believing)
+	for _, t := range p.localTargets {
+		n += t.allowed(now, p.trustDownReports)
 	}
 	return n
 }
 
-// running returns how many requests run here.
+// running returns how many requests run under this VM's permits.
 func (p *pool) running() int {
 	n := 0
-	for _, b := range p.local {
-		n += b.running
+	for _, t := range p.localTargets {
+		n += t.running
 	}
 	return n
 }
 
-// retire ends the use of a lease slot that is being given up, and reports
-// whether no request runs under it.
+// retire stops the use of a lease slot that this VM gives up, and reports whether no
+// request runs under it.
 func (p *pool) retire(in inputs, slot int) bool {
 	p.retired[slot] = in.now
 	p.update(in)
-	for _, b := range p.local {
-		for _, s := range b.slots {
+	for _, t := range p.localTargets {
+		for _, s := range t.slots {
 			if s.slot == slot && s.running > 0 {
 				return false
 			}
@@ -333,23 +341,24 @@
 	return true
 }
 
-// freePermits returns how many more requests may run here now.
+// freePermits returns how many more requests may now run under this VM's permits, after
+// those that wait.
 func (p *pool) freePermits(now clock.Time) int {
 	n := 0
-	for _, b := range p.local {
-		n += max(0, min(b.free(), b.allowed(now, p.believing)-b.running))
+	for _, t := range p.localTargets {
+		n += max(0, min(t.freePermits(), t.allowed(now, p.trustDownReports)-t.running))
 	}
 	return max(0, n-p.queue.Len())
 }
 
-func (p *pool) lend(now clock.Time, b *backend, r *request) *lent {
+func (p *pool) grantTarget(now clock.Time, t *localTarget, r *request) *assignment {
 	p.counts.granted++
-	return &lent{backend: b, slot: b.take(), request: r, started: now}
+	return &assignment{target: t, slot: t.takePermit(), request: r, started: now}
 }
 
-func (p *pool) handOver(now clock.Time, peer *member.Peer, r *request) *lent {
+func (p *pool) handOver(now clock.Time, peer *member.Peer, r *request) *assignment {
 	p.counts.handedOver++
-	p.peers.of(peer).running++
+	p.peers.stateOf(peer).running++
 	p.links.add(peer.Region, 1)
-	return &lent{peer: peer, request: r, started: now}
+	return &assignment{peer: peer, request: r, started: now}
 }
--- a/pkg/dispatch/release.go
+++ b/pkg/dispatch/release.go
@@ -10,50 +10,51 @@
 	"crocusramp.dev/crocusramp/pkg/outcome"
 )
 
-// release takes in the end of a granted request.
-func (p *pool) release(in inputs, l *lent, res Result) {
-	if res.Outcome != outcome.Done && l.request.ID != "" {
-		refusedBy := l.request.refusedBy
-		if l.peer != nil {
-			refusedBy = append(slices.Clone(refusedBy), l.peer.Incarnation)
+// release ends an assignment: it returns the permit or the place at the peer and records
+// the result for health, latency, shifts and retries.
+func (p *pool) release(in inputs, a *assignment, res Result) {
+	if res.Outcome != outcome.Done && a.request.ID != "" {
+		refusedBy := a.request.refusedBy
+		if a.peer != nil {
+			refusedBy = append(slices.Clone(refusedBy), a.peer.Incarnation)
 		}
-		p.retried.Add(l.request.ID, refusedBy)
+		p.retried.Add(a.request.ID, refusedBy)
 	}
-	if l.peer != nil {
-		p.releasePeer(in.now, l, res)
+	if a.peer != nil {
+		p.releasePeer(in.now, a, res)
 		return
 	}
-	running := l.backend.running
-	l.backend.put(l.slot)
-	kind := classify(in.now, l.request, res)
-	l.backend.health.RecordOutcome(in.now, health.Sample{
-		Kind: kind, Latency: p.comparable(l.request.Route.Name, res.Latency), Running: running,
+	running := a.target.running
+	a.target.returnPermit(a.slot)
+	kind := classify(in.now, a.request, res)
+	a.target.health.RecordOutcome(in.now, health.Sample{
+		Kind: kind, Latency: p.normalizedLatency(a.request.Route.Name, res.Latency), Running: running,
 		PoolLatency: time.Duration(p.latency),
 	})
 	if kind == health.Good {
-		p.observe(l.request.Route.Name, res.Latency)
+		p.observeLatency(a.request.Route.Name, res.Latency)
 	}
 }
 
-func (p *pool) releasePeer(now clock.Time, l *lent, res Result) {
-	p.links.add(l.peer.Region, -1)
-	s := p.peers.of(l.peer)
+func (p *pool) releasePeer(now clock.Time, a *assignment, res Result) {
+	p.links.add(a.peer.Region, -1)
+	s := p.peers.stateOf(a.peer)
 	running := s.running
 	s.running = max(0, s.running-1)
 	refused := res.Outcome == outcome.NotRun && !res.Canceled
 	if refused {
-		s.refused(now)
+		s.recordRefusal(now)
 	} else if res.Outcome == outcome.Done {
-		s.ran(running)
+		s.recordSuccess(running)
 	}
-	if l.shift != nil && !res.Canceled {
-		latency := p.comparable(l.request.Route.Name, res.Latency-2*p.peers.cost(l.peer.Region))
-		l.shift.observe(now, res.Outcome == outcome.Done && res.Status < http.StatusInternalServerError,
+	if a.shift != nil && !res.Canceled {
+		latency := p.normalizedLatency(a.request.Route.Name, res.Latency-2*p.peers.cost(a.peer.Region))
+		a.shift.observe(now, res.Outcome == outcome.Done && res.Status < http.StatusInternalServerError,
 			latency, time.Duration(p.latency))
 	}
 }
 
-// classify tells what the end of a request says of its target.
+// classify returns what the result of a request tells about the health of its target.
 func classify(now clock.Time, r *request, res Result) health.Kind {
 	switch {
 	case res.Canceled:
@@ -64,11 +65,11 @@
 		res.Status == http.StatusTooManyRequests:
 		return health.Overloaded
 	case res.Status >= http.StatusInternalServerError:
-		return health.Neutral // a fault of the request as likely as of the target
+		return health.Neutral // the request is as likely at fault as the target
 	case res.Status != 0 && res.Outcome == outcome.Done:
 		return health.Good
 	case res.Status != 0:
-		return health.Neutral // cut on the way, by the target or the caller
+		return health.Neutral // the response was cut off, by the target or by the caller
 	case !now.Before(r.deadline):
 		return health.Overloaded
 	case res.Outcome == outcome.NotRun:
--- a/pkg/dispatch/scheduler.go
+++ b/pkg/dispatch/scheduler.go
@@ -25,16 +25,16 @@
 
 var _ Dispatcher = (*Scheduler)(nil)
 
-// lockedPool is a pool with the lock that serializes its calls.
+// lockedPool is a pool with the lock that serializes the calls to it.
 type lockedPool struct {
 	mu   sync.Mutex
 	pool *pool
 }
 
-// waitSamples is the size of the sample of queue waits.
+// waitSamples is the size of the reservoir of sampled queue waits.
 const waitSamples = 1024
 
-// meters count what the scheduler decides.
+// meters are the metrics of the scheduler's decisions.
 type meters struct {
 	granted, handedOver, queued, refused metrics.Counter
 	// wait is the time in the queue, in microseconds.
@@ -54,15 +54,14 @@
 	}
 }
 
-// NewScheduler returns a Scheduler. Start must be called for its background
-// work.
+// NewScheduler returns a Scheduler. The caller must call Start to run its background work.
 func NewScheduler(c Config) *Scheduler {
 	c = c.withDefaults()
 	if c.Seed == 0 {
 		c.Seed = xxhash.Sum64String(c.Self.ID + "/" + c.Self.Incarnation)
 	}
 	s := &Scheduler{config: c, pools: map[string]*lockedPool{}, meters: newMeters(c.Metrics)}
-	shared := newLinks(c.LinkRequests, c.Regions)
+	shared := newLinks(c.MaxLinkRequests, c.Regions)
 	for i, p := range c.Pools {
 		s.pools[p.Name] = &lockedPool{pool: newPool(c, p, shared, c.Seed+uint64(i))}
 	}
@@ -73,62 +72,63 @@
 func (s *Scheduler) Acquire(ctx context.Context, r *Request) (*Grant, *outcome.Refusal) {
 	p := s.pools[r.Route.Pool]
 	if p == nil {
-		return nil, s.refused(outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonNoCapacity, mostRetryAfter,
+		return nil, s.countRefusal(outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonNoCapacity, maxRetryAfter,
 			"This VM has no pool of the route's name."))
 	}
 	in := s.inputs()
 	remaining := time.Until(r.Deadline)
 	if remaining <= 0 || ctx.Err() != nil {
-		return nil, s.refused(refuseLate())
+		return nil, s.countRefusal(refuseDeadline())
 	}
 	req := &request{Request: r, class: queue.ClassOf(r.Route.Priority), deadline: in.now.Add(remaining)}
 	p.mu.Lock()
-	l, t, refusal := p.pool.acquire(in, req)
+	a, w, refusal := p.pool.acquire(in, req)
 	p.mu.Unlock()
 	switch {
 	case refusal != nil:
-		return nil, s.refused(refusal)
-	case l != nil:
-		return s.grant(p, l), nil
+		return nil, s.countRefusal(refusal)
+	case a != nil:
+		return s.newGrant(p, a), nil
 	}
-	return s.await(ctx, p, t, in.now)
+	return s.awaitDecision(ctx, p, w, in.now)
 }
 
-// await waits for the decision on a queued request.
-func (s *Scheduler) await(ctx context.Context, p *lockedPool, t *ticket, since clock.Time) (*Grant, *outcome.Refusal) {
+// awaitDecision waits for the decision on a queued request. It removes the request from
+// the queue when its entry expires or ctx ends.
+func (s *Scheduler) awaitDecision(ctx context.Context, p *lockedPool, w *waiter, since clock.Time) (*Grant, *outcome.Refusal) {
 	s.meters.queued.Inc(1)
-	timer := time.NewTimer(t.entry.Expires.Sub(since))
+	timer := time.NewTimer(w.entry.Expires.Sub(since))
 	defer timer.Stop()
 	select {
-	case <-t.decided:
+	case <-w.decided:
 	case <-timer.C:
-		s.abandon(p, t)
+		s.abandon(p, w)
 	case <-ctx.Done():
-		s.abandon(p, t)
+		s.abandon(p, w)
 	}
 	s.meters.wait.Update(s.config.Clock.Now().Sub(since).Microseconds())
-	if t.refusal != nil {
-		return nil, s.refused(t.refusal)
+	if w.refusal != nil {
+		return nil, s.countRefusal(w.refusal)
 	}
-	return s.grant(p, t.lent), nil
+	return s.newGrant(p, w.assignment), nil
 }
 
-func (s *Scheduler) abandon(p *lockedPool, t *ticket) {
+func (s *Scheduler) abandon(p *lockedPool, w *waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pool.abandon(s.config.Clock.Now(), t)
+	p.pool.abandon(s.config.Clock.Now(), w)
 }
 
-func (s *Scheduler) refused(r *outcome.Refusal) *outcome.Refusal {
+func (s *Scheduler) countRefusal(r *outcome.Refusal) *outcome.Refusal {
 	s.meters.refused.Inc(1)
 	return r
 }
 
-// grant wraps what a pool has lent. A second Release does nothing.
-func (s *Scheduler) grant(p *lockedPool, l *lent) *Grant {
-	g := &Grant{Peer: l.peer}
-	if l.backend != nil {
-		g.Target = &l.backend.Target
+// newGrant returns the Grant of an assignment. A second call of its Release does nothing.
+func (s *Scheduler) newGrant(p *lockedPool, a *assignment) *Grant {
+	g := &Grant{Peer: a.peer}
+	if a.target != nil {
+		g.Target = &a.target.Target
 		s.meters.granted.Inc(1)
 	} else {
 		s.meters.handedOver.Inc(1)
@@ -141,8 +141,8 @@
 		in := s.inputs()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.pool.release(in, l, res)
-		p.pool.serve(in)
+		p.pool.release(in, a, res)
+		p.pool.serveQueue(in)
 	}
 	return g
 }
@@ -156,8 +156,8 @@
 	}
 }
 
-// FreePermits returns how many more requests this VM could grant a target now,
-// over all pools.
+// FreePermits returns how many more requests could now be granted a target of this VM, over all
+// pools.
 func (s *Scheduler) FreePermits() int {
 	in := s.inputs()
 	n := 0
@@ -170,9 +170,9 @@
 	return n
 }
 
-// Retire ends the granting of permits of a lease slot that this VM gives up, at
-// once also for requests that read the holding before. It reports whether none
-// of the slot's permits is in use.
+// Retire stops the granting of permits of a lease slot that this VM gives up. It also
+// takes effect for calls that read the holding earlier and have not decided yet. It
+// reports whether none of the slot's permits is in use.
 func (s *Scheduler) Retire(slot int) bool {
 	in := s.inputs()
 	idle := true
@@ -184,7 +184,7 @@
 	return idle
 }
 
-// PoolLoads returns this VM's part of each pool, for its heartbeats.
+// PoolLoads returns this VM's load in each pool, sorted by name, for its heartbeats.
 func (s *Scheduler) PoolLoads() []member.PoolLoad {
 	in := s.inputs()
 	loads := make([]member.PoolLoad, 0, len(s.pools))
@@ -200,16 +200,16 @@
 	return loads
 }
 
-// Start runs the background work until ctx ends: it looks through the queues
-// and asks the targets for their load. It returns at once.
+// Start starts the background work, which runs until ctx ends: checking the queues and
+// polling the targets. It returns immediately.
 func (s *Scheduler) Start(ctx context.Context) {
-	go s.tickUntil(ctx)
+	go s.runTicks(ctx)
 	if s.config.PollInterval > 0 {
 		s.startPolling(ctx)
 	}
 }
 
-func (s *Scheduler) tickUntil(ctx context.Context) {
+func (s *Scheduler) runTicks(ctx context.Context) {
 	ticker := time.NewTicker(s.config.TickInterval)
 	defer ticker.Stop()
 	for {
--- a/pkg/dispatch/scheduler_test.go
+++ b/pkg/dispatch/scheduler_test.go
@@ -12,7 +12,7 @@
 
 var done = Result{Outcome: outcome.Done, Status: 200, Latency: 10 * time.Millisecond}
 
-// fill takes grants until none is left and returns them.
+// fill acquires grants until no permit is free and returns them.
 func fill(t *testing.T, s *Scheduler, f *fakeFleet) []*Grant {
 	t.Helper()
 	var grants []*Grant
@@ -32,7 +32,7 @@
 		s := NewScheduler(f.schedulerConfig())
 		grants := fill(t, s, f)
 		if len(grants) != 2 { // slow start: one on each cold target
-			t.Fatalf("%d grants", len(grants))
+			t.Fatalf("%d grants, want 2", len(grants))
 		}
 		go func() {
 			time.Sleep(time.Second)
@@ -42,17 +42,17 @@
 		started := time.Now()
 		g, refusal := s.Acquire(t.Context(), f.request("a"))
 		if refusal != nil || g.Target == nil || time.Since(started) != time.Second {
-			t.Fatalf("after %v: %+v, %v", time.Since(started), g, refusal)
+			t.Fatalf("after %v: grant %+v, refusal %v, want a target after 1 s", time.Since(started), g, refusal)
 		}
-		// The answer has raised its target's limit from one to two; the second
-		// Release has freed nothing.
+		// The good response raised the limit of its target from one to two; the second
+		// Release had no effect.
 		if free := s.FreePermits(); free != 1 {
-			t.Errorf("%d free permits", free)
+			t.Errorf("%d free permits, want 1", free)
 		}
 	})
 }
 
-func TestAcquireRefusesWhenTheQueueBoundEnds(t *testing.T) {
+func TestAcquireRefusesAfterMaxQueueWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
 		s := NewScheduler(f.schedulerConfig())
@@ -63,12 +63,12 @@
 			t.Fatalf("refusal %+v", refusal)
 		}
 		if waited := time.Since(started); waited != 2*time.Second {
-			t.Errorf("waited %v", waited)
+			t.Errorf("waited %v, want 2s", waited)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
 		if _, refusal = s.Acquire(ctx, f.request("b")); refusal == nil || time.Since(started) > 2*time.Second+time.Millisecond {
-			t.Errorf("refusal %+v after %v", refusal, time.Since(started))
+			t.Errorf("refusal %+v after %v, want one when the context ends", refusal, time.Since(started))
 		}
 	})
 }
@@ -83,23 +83,23 @@
 		for range 2 {
 			g, refusal := s.Acquire(t.Context(), f.request("a"))
 			if refusal != nil || g.Peer == nil {
-				t.Fatalf("%+v, %v", g, refusal)
+				t.Fatalf("grant %+v, refusal %v, want a peer", g, refusal)
 			}
 			visited = append(visited, g.Peer.ID)
 			g.Release(Result{Outcome: outcome.NotRun, Status: 503})
 		}
 		if visited[0] != "vm-1" || visited[1] != "vm-2" {
-			t.Errorf("handed to %v, want the nearer VM first and each once", visited)
+			t.Errorf("handed over to %v, want the nearer VM first and each once", visited)
 		}
 		_, refusal := s.Acquire(t.Context(), f.request("a"))
 		if refusal == nil || refusal.Reason != outcome.ReasonQueueTimeout {
-			t.Errorf("third time: %+v, want a wait here and a refusal", refusal)
+			t.Errorf("third attempt: refusal %+v, want a queue timeout on this VM", refusal)
 		}
 	})
 }
 
-// TestDrainedVMGetsNothing checks that no request is handed to a drained VM.
-func TestDrainedVMGetsNothing(t *testing.T) {
+// TestDrainedVMGetsNoRequests checks that no request is handed over to a drained VM.
+func TestDrainedVMGetsNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
 		f.change(map[string]*config.Drain{"d": {Name: "d", Kind: config.DrainVM, Subject: "vm-1"}},
@@ -109,16 +109,16 @@
 		for range 5 {
 			g, refusal := s.Acquire(t.Context(), f.request(""))
 			if refusal != nil || g.Peer == nil || g.Peer.ID != "vm-2" {
-				t.Fatalf("%+v, %v", g, refusal)
+				t.Fatalf("grant %+v, refusal %v, want peer vm-2", g, refusal)
 			}
 		}
 	})
 }
 
-// TestHandedOverRequestGoesNoFurther checks that a request from a peer is
-// never handed on and waits no longer than its own short bound, and not at all
-// where nothing can run.
-func TestHandedOverRequestGoesNoFurther(t *testing.T) {
+// TestHandedOverRequestIsNotHandedOverAgain checks that a request from a peer is never
+// handed over again, that it waits for no longer than MaxHandedOverWait, and that it does
+// not wait at all on a VM without usable targets.
+func TestHandedOverRequestIsNotHandedOverAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
 		f.view.Peers = append(f.view.Peers, peerVM(1, "east", 3))
@@ -128,7 +128,7 @@
 		r.HandedOver = true
 		started := time.Now()
 		_, refusal := s.Acquire(t.Context(), r)
-		if refusal == nil || refusal.Outcome != outcome.NotRun || time.Since(started) != defaultHandedOverBound {
+		if refusal == nil || refusal.Outcome != outcome.NotRun || time.Since(started) != defaultMaxHandedOverWait {
 			t.Errorf("refusal %+v after %v", refusal, time.Since(started))
 		}
 		f.change(map[string]*config.Drain{"d": {Name: "d", Kind: config.DrainRegion, Subject: "east"}}, f.view.Peers...)
@@ -140,7 +140,7 @@
 	})
 }
 
-func TestLapsedSlotGrantsNothing(t *testing.T) {
+func TestExpiredSlotGrantsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
 		for i := range f.holding.Slots {
@@ -153,14 +153,14 @@
 		time.Sleep(time.Second)
 		g, refusal := s.Acquire(t.Context(), f.request("a"))
 		if refusal == nil || refusal.Outcome != outcome.NotRun {
-			t.Errorf("granted %+v under a lapsed lease", g)
+			t.Errorf("granted %+v under an expired lease", g)
 		}
 	})
 }
 
-// TestRetiredSlotGrantsNothing checks that a slot is out of use once its
-// retirement is known, also under the old holding, and that it is idle only
-// after its requests have ended.
+// TestRetiredSlotGrantsNothing checks that no permit of a retired slot is granted, even
+// while the holding still lists the slot, that Retire reports the slot as idle only after
+// its requests have ended, and that the slot is usable when it is taken again.
 func TestRetiredSlotGrantsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
@@ -174,7 +174,7 @@
 			idle[s.Retire(slot.Index)]++
 		}
 		if idle[true] != 1 || s.FreePermits() != 0 {
-			t.Errorf("%d of 2 slots idle with one request, %d free permits", idle[true], s.FreePermits())
+			t.Errorf("%d of 2 slots idle while one request runs, want 1; %d free permits, want 0", idle[true], s.FreePermits())
 		}
 		g.Release(done)
 		for _, slot := range f.holding.Slots {
@@ -187,13 +187,13 @@
 			f.holding.Slots[i].Since, f.holding.Slots[i].New, f.holding.Slots[i].Idle = bubbleClock{}.Now(), false, true
 		}
 		if n := s.FreePermits(); n == 0 {
-			t.Error("idle slots that were taken again are not used at once")
+			t.Error("idle slots that were taken again are not usable immediately")
 		}
 	})
 }
 
-// TestTakenOverSlotIsHeldDown checks that permits of a slot with a former
-// holder stay unused while requests of that holder may still run.
+// TestTakenOverSlotIsHeldDown checks that the permits of a slot that was taken over stay
+// unused while requests of the former holder may still run.
 func TestTakenOverSlotIsHeldDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
@@ -213,7 +213,7 @@
 	})
 }
 
-func TestDrainKeepsNewWorkAwayAndMovesTheQueue(t *testing.T) {
+func TestDrainStopsNewRequestsAndMovesQueuedOnes(t *testing.T) {
 	for _, d := range []config.Drain{
 		{Name: "d", Kind: config.DrainRegion, Subject: "east"},
 		{Name: "d", Kind: config.DrainFailureDomain, Subject: "east-a"},
@@ -251,15 +251,15 @@
 					t.Fatalf("queued request refused: %v", r.refusal)
 				}
 				if d.Kind == config.DrainRegion && (r.g.Peer == nil || r.after > 2*time.Second) {
-					t.Errorf("queued request: %+v after %v, want a peer in another region", r.g, r.after)
+					t.Errorf("queued request: grant %+v after %v, want a peer in another region within 2s", r.g, r.after)
 				}
 				for range 50 {
 					g, refusal := s.Acquire(ctx, f.request(""))
 					if refusal != nil {
-						t.Fatalf("refused: %v", refusal)
+						t.Fatalf("new request refused: %v", refusal)
 					}
 					if g.Target != nil && drained(f.config, *g.Target) {
-						t.Fatalf("granted %s", g.Target.ID)
+						t.Fatalf("granted the drained target %s", g.Target.ID)
 					}
 					g.Release(done)
 				}
--- a/pkg/dispatch/shift.go
+++ b/pkg/dispatch/shift.go
@@ -8,39 +8,43 @@
 )
 
 const (
-	// wholeRequest is one request in the unit of shift credit.
-	wholeRequest = 1_000_000
-	// unitsPerPercent converts a cap in percent to credit for one request.
-	unitsPerPercent = wholeRequest / 100
+	// creditPerRequest is the credit that one shifted request costs.
+	creditPerRequest = 1_000_000
+	// creditPerPercent is the credit that one seen request adds for each percent of the
+	// cap.
+	creditPerPercent = creditPerRequest / 100
 
-	// rampStart, rampLeast and rampFull are parts of the cap, in thousandths.
+	// rampStart, rampMin and rampFull are fractions of the cap, in thousandths.
 	rampStart = 100
-	rampLeast = 50
+	rampMin   = 50
 	rampFull  = 1000
-	// rampInterval is how long a step of the ramp is observed.
+	// rampInterval is the minimum duration of a step of the ramp.
 	rampInterval = 2 * time.Second
-	// rampSamples is how many ends a step needs to be judged.
+	// rampSamples is the minimum number of results in a step of the ramp.
 	rampSamples = 20
-	// rampSlowFactor is how many times the local latency the destination may
-	// take before the ramp stops; at half as much again it goes back.
+	// rampSlowFactor is the multiple of the local latency above which the destination
+	// counts as slow and the ramp stops. Above one and a half times that limit the
+	// ramp steps back.
 	rampSlowFactor = 2
-	// rampMargin is the difference in latency that never stops the ramp.
+	// rampMargin is added to the limit, so that a small difference in latency never stops
+	// the ramp.
 	rampMargin = 10 * time.Millisecond
 )
 
-// shift counts one traffic shift on this VM. For each request that it sees it
-// gains a part of a credit that is at most the cap, and each shifted request
-// costs a whole one, so that shifted <= floor(cap * seen) after every request.
-// The sum of such floors over the VMs is no more than the floor of the sum.
+// shift counts the requests of one traffic shift on this VM. Each seen request adds
+// credit for at most cap requests, where cap is a fraction, and each shifted request
+// costs the credit of one. Hence shifted <= floor(cap * seen) after every request. Since
+// the sum of these floors over the VMs is at most the floor of the sum, the cap also
+// holds for the whole fleet.
 type shift struct {
 	config.Shift
 	seen    int64
 	shifted int64
-	// evacuated counts requests that went to the destination because this
-	// region could run nothing.
-	evacuated int64
-	credit    int64
-	perSeen   int64
+	// evacuated counts requests that went to the destination because this region had
+	// no usable target.
+	evacuated     int64
+	credit        int64
+	creditPerSeen int64
 
 	ramp        int64
 	windowStart clock.Time
@@ -50,28 +54,29 @@
 
 func newShift(s config.Shift, now clock.Time) *shift {
 	percent := min(max(s.CapPercent, 0), 100)
-	return &shift{Shift: s, perSeen: int64(percent * unitsPerPercent), ramp: rampStart, windowStart: now}
+	return &shift{Shift: s, creditPerSeen: int64(percent * creditPerPercent), ramp: rampStart, windowStart: now}
 }
 
-// see counts a request that the shift applies to.
-func (s *shift) see() {
+// countSeen counts a request to which the shift applies.
+func (s *shift) countSeen() {
 	s.seen++
-	// Less than two whole credits are kept, so that requests that could not
-	// be shifted in time are not made up for in a burst.
-	s.credit = min(s.credit+s.perSeen*s.ramp/rampFull, 2*wholeRequest-1)
+	// The credit stays below that of two requests. Otherwise, requests that could not
+	// be shifted for some time would be made up for in a burst.
+	s.credit = min(s.credit+s.creditPerSeen*s.ramp/rampFull, 2*creditPerRequest-1)
 }
 
-// due reports whether a request may be shifted.
-func (s *shift) due() bool { return s.credit >= wholeRequest }
+// hasCredit reports whether a request may be shifted now.
+func (s *shift) hasCredit() bool { return s.credit >= creditPerRequest }
 
-// spend counts a shifted request. The decision counts, whatever becomes of it.
-func (s *shift) spend() {
-	s.credit -= wholeRequest
+// spendCredit counts a shifted request when it is handed over, regardless of its outcome.
+func (s *shift) spendCredit() {
+	s.credit -= creditPerRequest
 	s.shifted++
 }
 
-// observe takes in the end of a shifted request and moves the ramp.
-func (s *shift) observe(now clock.Time, ok bool, latency, usual time.Duration) {
+// observe records the result of a shifted request and adjusts the ramp at the end of a
+// step.
+func (s *shift) observe(now clock.Time, ok bool, latency, local time.Duration) {
 	if ok {
 		s.good++
 		s.latency += latency
@@ -81,43 +86,45 @@
 	if now.Sub(s.windowStart) < rampInterval || s.good+s.bad < rampSamples {
 		return
 	}
-	s.ramp = nextRamp(s.ramp, s.good, s.bad, s.latency, usual)
+	s.ramp = nextRamp(s.ramp, s.good, s.bad, s.latency, local)
 	s.windowStart, s.good, s.bad, s.latency = now, 0, 0, 0
 }
 
-// nextRamp returns the part of the cap after a window with the given ends.
-// usual is the latency of the same requests without a shift; 0 is unknown.
-func nextRamp(ramp int64, good, bad int, latency, usual time.Duration) int64 {
-	slow, slower := false, false
-	if good > 0 && usual > 0 {
+// nextRamp returns the fraction of the cap, in thousandths, after a step with the given
+// numbers of good and bad results. latency is the sum over the good results. local is the
+// mean latency of the same requests in this region; 0 if unknown.
+func nextRamp(ramp int64, good, bad int, latency, local time.Duration) int64 {
+	slow, muchSlower := false, false
+	if good > 0 && local > 0 {
 		mean := latency / time.Duration(good)
-		limit := rampSlowFactor*usual + rampMargin
-		slow, slower = mean > limit, mean > limit+limit/2
+		limit := rampSlowFactor*local + rampMargin
+		slow, muchSlower = mean > limit, mean > limit+limit/2
 	}
 	switch {
-	case 10*bad > good+bad || slower:
-		return max(rampLeast, ramp/2)
+	case 10*bad > good+bad || muchSlower:
+		return max(rampMin, ramp/2)
 	case 20*bad > good+bad || slow:
 		return ramp
 	}
 	return min(rampFull, 2*ramp)
 }
 
-// shiftsOf returns the state of the configured shifts of a pool out of a
-// region, in order of name. A shift of which anything changed starts anew.
-func shiftsOf(cfg *config.Config, pool, region string, old []*shift, now clock.Time) []*shift {
+// updateShifts returns the state of the configured shifts of a pool out of a region, sorted
+// by name. It keeps the old state of unchanged shifts; a shift that was changed in any way
+// starts again.
+func updateShifts(cfg *config.Config, pool, region string, old []*shift, now clock.Time) []*shift {
 	var shifts []*shift
 	for _, name := range sortedKeys(cfg.Shifts) {
 		s := cfg.Shifts[name]
 		if s.Pool != pool || s.From != region || s.To == region {
 			continue
 		}
-		shifts = append(shifts, keepShift(*s, old, now))
+		shifts = append(shifts, reuseShift(*s, old, now))
 	}
 	return shifts
 }
 
-func keepShift(s config.Shift, old []*shift, now clock.Time) *shift {
+func reuseShift(s config.Shift, old []*shift, now clock.Time) *shift {
 	for _, o := range old {
 		if o.Shift == s {
 			return o
--- a/pkg/dispatch/sim_test.go
+++ b/pkg/dispatch/sim_test.go
@@ -19,17 +19,17 @@
 	"crocusramp.dev/crocusramp/pkg/target"
 )
 
-// size is one of the two fixed settings of the brief.
+// size describes one of the two reference fleets.
 type size struct {
-	name     string
-	regions  []string
-	vms      int
-	pool     string
-	targets  int
-	slots    int
-	zone     time.Duration
-	region   time.Duration
-	deadline time.Duration
+	name             string
+	regions          []string
+	vms              int
+	pool             string
+	targets          int
+	slots            int
+	sameRegionDelay  time.Duration
+	crossRegionDelay time.Duration
+	deadline         time.Duration
 }
 
 var (
@@ -39,7 +39,7 @@
 		500 * time.Microsecond, 55 * time.Millisecond, 10 * time.Second}
 )
 
-// policy is how a simulated VM dispatches.
+// policy is the way in which a simulated VM dispatches requests.
 type policy string
 
 const (
@@ -53,27 +53,27 @@
 	simHeartbeat = time.Second
 	simService   = 80 * time.Millisecond // mean time of a request on a target
 	simTick      = 50 * time.Millisecond
-	// coldFactor is how many times longer a cold target takes.
+	// coldFactor multiplies the service time on a cold target.
 	coldFactor  = 4
 	simAttempts = 4
-	// mostPermits is no less than what one VM holds.
-	mostPermits = 64
+	// maxVMPermits is an upper bound on the permits of one VM.
+	maxVMPermits = 64
 	// simSample is the time between two samples of the headroom.
 	simSample = 100 * time.Millisecond
 )
 
-// simAccount is a simulated client account; its requests come to home more often.
+// simAccount is a simulated client account. Most of its requests go to VMs of its home region.
 type simAccount struct {
 	name string
 	rate float64
 	home int
-	// priority is normal where empty; slower is how many times the usual
-	// service its requests take, 1 where 0.
+	// priority is normal if empty. slower multiplies the service time of its requests;
+	// less than 1 counts as 1.
 	priority config.Priority
 	slower   float64
 }
 
-// sim is a discrete-event run of one pool on all VMs of a fleet.
+// sim is a discrete-event simulation of one pool on all VMs of a fleet.
 type sim struct {
 	size    size
 	policy  policy
@@ -86,7 +86,7 @@
 	config  *config.Config
 	results map[string]*tally
 	calls   int
-	// report, where set, is what a target says of itself at each heartbeat.
+	// report, if set, returns the load report of a target at each heartbeat.
 	report func(*simTarget) health.Report
 	// headroom holds the samples of sampleHeadroom since the warm-up.
 	headroom []float64
@@ -101,22 +101,22 @@
 	holding *lease.Holding
 	// permits is the number of permits of its lease slots.
 	permits int
-	waiting map[*ticket]func(*lent, *outcome.Refusal)
+	waiting map[*waiter]func(*assignment, *outcome.Refusal)
 }
 
-// simTarget runs as many requests as it has slots; more of them wait inside.
+// simTarget runs as many requests as it has slots and queues the others.
 type simTarget struct {
 	target.Target
-	dead     bool
-	running  int
-	backlog  []func()
-	most     int
-	reported int
-	served   int
-	coldFor  int
+	dead            bool
+	running         int
+	backlog         []func()
+	maxRequests     int
+	reported        int
+	served          int
+	coldUntilServed int
 }
 
-// tally is what became of an account's requests.
+// tally counts the results of an account's requests.
 type tally struct {
 	offered, done, refused int
 	latency                []time.Duration
@@ -172,19 +172,19 @@
 	const slots = 16
 	cost := map[string]time.Duration{}
 	for _, r := range s.size.regions {
-		cost[r] = s.size.region
+		cost[r] = s.size.crossRegionDelay
 	}
 	for i := range s.size.vms {
 		self := peerVM(i, s.size.regions[i%3], 0)
 		c := Config{Pools: []target.Pool{p}, Self: self, Regions: s.size.regions, RegionCost: cost}.withDefaults()
 		vm := &simVM{peer: self, view: &member.View{Self: self}, holding: &lease.Holding{Total: slots},
-			waiting: map[*ticket]func(*lent, *outcome.Refusal){}}
-		vm.pool = newPool(c, p, newLinks(c.LinkRequests, c.Regions), uint64(i))
+			waiting: map[*waiter]func(*assignment, *outcome.Refusal){}}
+		vm.pool = newPool(c, p, newLinks(c.MaxLinkRequests, c.Regions), uint64(i))
 		s.vms = append(s.vms, vm)
 	}
 	taken := map[string]int{}
-	layout := permit.SlotRegions(s.size.regions, slots)
-	for slot, region := range layout {
+	slotRegions := permit.SlotRegions(s.size.regions, slots)
+	for slot, region := range slotRegions {
 		var local []*simVM
 		for _, vm := range s.vms {
 			if vm.peer.Region == region {
@@ -195,7 +195,7 @@
 		taken[region]++
 		vm.holding.Slots = append(vm.holding.Slots, lease.Slot{Index: slot, Region: region, Until: forever, New: true})
 		for _, t := range p.Targets {
-			vm.permits += permit.Assign(t, layout)[slot]
+			vm.permits += permit.Assign(t, slotRegions)[slot]
 		}
 	}
 }
@@ -224,8 +224,8 @@
 	return inputs{now: s.now, config: s.config, members: vm.view, holding: vm.holding}
 }
 
-// sampleHeadroom records the free part of the slots of the region that has the
-// least of it, dead targets left out.
+// sampleHeadroom records the smallest free fraction of the slots of any region. It leaves
+// out dead targets.
 func (s *sim) sampleHeadroom() {
 	slots, running := map[string]int{}, map[string]int{}
 	for _, t := range s.targets {
@@ -241,7 +241,7 @@
 	s.headroom = append(s.headroom, least)
 }
 
-// heartbeat tells all VMs of all others, and takes the targets' reports.
+// heartbeat exchanges the load of all VMs and applies the reports of all targets.
 func (s *sim) heartbeat() {
 	for _, t := range s.targets {
 		t.reported = t.running + len(t.backlog)
@@ -265,7 +265,7 @@
 	if s.report == nil {
 		return
 	}
-	for _, b := range vm.pool.local {
+	for _, b := range vm.pool.localTargets {
 		if t := s.targets[b.ID]; !t.dead {
 			b.health.ApplyReport(s.now, s.report(t))
 		}
@@ -275,23 +275,24 @@
 func (s *sim) tick() {
 	for _, vm := range s.vms {
 		vm.pool.tick(s.inputs(vm))
-		s.settle(vm)
+		s.deliverDecisions(vm)
 	}
 }
 
-// settle hands decided tickets on, in a fixed order.
-func (s *sim) settle(vm *simVM) {
-	var ready []*ticket
-	for t := range vm.waiting {
-		if t.lent != nil || t.refusal != nil {
-			ready = append(ready, t)
+// deliverDecisions calls back the waiters that have been decided, in order of request ID so
+// that runs are reproducible.
+func (s *sim) deliverDecisions(vm *simVM) {
+	var ready []*waiter
+	for w := range vm.waiting {
+		if w.assignment != nil || w.refusal != nil {
+			ready = append(ready, w)
 		}
 	}
-	slices.SortFunc(ready, func(a, b *ticket) int { return slices.Compare([]byte(a.request.ID), []byte(b.request.ID)) })
-	for _, t := range ready {
-		answer := vm.waiting[t]
-		delete(vm.waiting, t)
-		answer(t.lent, t.refusal)
+	slices.SortFunc(ready, func(a, b *waiter) int { return slices.Compare([]byte(a.request.ID), []byte(b.request.ID)) })
+	for _, w := range ready {
+		decided := vm.waiting[w]
+		delete(vm.waiting, w)
+		decided(w.assignment, w.refusal)
 	}
 }
 
@@ -320,9 +321,9 @@
 	c.dispatch(vm)
 }
 
-// entryVM is where a caller sends its request: 7 of 10 to the account's home
-// region and the others anywhere, to VMs by their number of permits, as
-// locate tells them.
+// entryVM picks the VM to which a caller sends its request. At least 7 of 10 requests go to
+// the account's home region, the others to any region. Within these VMs the choice is
+// weighted by the number of permits, as in the answers of locate.
 func (s *sim) entryVM(a simAccount) *simVM {
 	home := s.rand.Float64() < 0.7
 	for {
@@ -330,13 +331,13 @@
 		if home && vm.peer.Region != s.size.regions[a.home%3] {
 			continue
 		}
-		if s.rand.IntN(mostPermits) < vm.permits {
+		if s.rand.IntN(maxVMPermits) < vm.permits {
 			return vm
 		}
 	}
 }
 
-// simCall is one request on its way.
+// simCall is one request of a caller with its attempts.
 type simCall struct {
 	sim      *sim
 	account  string
@@ -351,31 +352,31 @@
 	c.attempts++
 	switch s.policy {
 	case policyRandom, policyLeast:
-		c.send(s.baseline(vm, c.request.Tried), func(res Result) { c.end(vm, res) })
+		c.send(s.pickBaseline(vm, c.request.Tried), func(res Result) { c.end(vm, res) })
 		return
 	}
-	// A request may be granted more than once: each has a copy.
+	// A request may be granted more than once; each grant needs its own copy.
 	r := *c.request
-	s.acquire(vm, &r, func(l *lent, refusal *outcome.Refusal) { c.granted(vm, l, refusal) })
+	s.acquire(vm, &r, func(l *assignment, refusal *outcome.Refusal) { c.granted(vm, l, refusal) })
 }
 
-func (c *simCall) granted(vm *simVM, l *lent, refusal *outcome.Refusal) {
+func (c *simCall) granted(vm *simVM, a *assignment, refusal *outcome.Refusal) {
 	s := c.sim
 	if refusal != nil {
 		s.results[c.account].refused++
 		return
 	}
 	release := func(res Result) {
-		s.release(vm, l, res)
+		s.release(vm, a, res)
 		c.end(vm, res)
 	}
-	if l.peer == nil {
-		c.send(s.targets[l.backend.ID], release)
+	if a.peer == nil {
+		c.send(s.targets[a.target.ID], release)
 		return
 	}
-	cost := vm.pool.peers.cost(l.peer.Region)
+	cost := vm.pool.peers.cost(a.peer.Region)
 	handedOver := s.now
-	peer := slices.IndexFunc(s.vms, func(o *simVM) bool { return o.peer.ID == l.peer.ID })
+	peer := slices.IndexFunc(s.vms, func(o *simVM) bool { return o.peer.ID == a.peer.ID })
 	s.after(cost, func() {
 		c.runAt(s.vms[peer], cost, func(res Result) {
 			res.Latency = s.now.Sub(handedOver)
@@ -384,58 +385,58 @@
 	})
 }
 
-// runAt is the part of a handed-over request on the peer.
+// runAt runs a handed-over request on the peer.
 func (c *simCall) runAt(vm *simVM, cost time.Duration, release func(Result)) {
 	s := c.sim
 	r := *c.request
 	handedOver := *r.Request
 	handedOver.HandedOver = true
 	r.Request = &handedOver
-	s.acquire(vm, &r, func(l *lent, refusal *outcome.Refusal) {
+	s.acquire(vm, &r, func(a *assignment, refusal *outcome.Refusal) {
 		if refusal != nil {
 			s.after(cost, func() { release(Result{Outcome: outcome.NotRun, Status: refusal.Status}) })
 			return
 		}
-		c.send(s.targets[l.backend.ID], func(res Result) {
-			s.release(vm, l, res)
+		c.send(s.targets[a.target.ID], func(res Result) {
+			s.release(vm, a, res)
 			s.after(cost, func() { release(res) })
 		})
 	})
 }
 
-// acquire asks the VM's pool and calls back with its decision.
-func (s *sim) acquire(vm *simVM, r *request, decided func(*lent, *outcome.Refusal)) {
-	l, t, refusal := vm.pool.acquire(s.inputs(vm), r)
-	if t == nil {
-		decided(l, refusal)
+// acquire asks the VM's pool for a decision and calls decided with it, now or later.
+func (s *sim) acquire(vm *simVM, r *request, decided func(*assignment, *outcome.Refusal)) {
+	a, w, refusal := vm.pool.acquire(s.inputs(vm), r)
+	if w == nil {
+		decided(a, refusal)
 	} else {
-		vm.waiting[t] = decided
-		s.after(t.entry.Expires.Sub(s.now), func() {
-			vm.pool.abandon(s.now, t)
-			s.settle(vm)
+		vm.waiting[w] = decided
+		s.after(w.entry.Expires.Sub(s.now), func() {
+			vm.pool.abandon(s.now, w)
+			s.deliverDecisions(vm)
 		})
 	}
-	s.settle(vm)
+	s.deliverDecisions(vm)
 }
 
-func (s *sim) release(vm *simVM, l *lent, res Result) {
-	vm.pool.release(s.inputs(vm), l, res)
-	vm.pool.serve(s.inputs(vm))
-	s.settle(vm)
+func (s *sim) release(vm *simVM, a *assignment, res Result) {
+	vm.pool.release(s.inputs(vm), a, res)
+	vm.pool.serveQueue(s.inputs(vm))
+	s.deliverDecisions(vm)
 }
 
-// send runs the request on a target and calls back with its end.
+// send runs the request on a target and calls done with the result.
 func (c *simCall) send(t *simTarget, done func(Result)) {
 	s := c.sim
 	granted := s.now
-	s.after(s.size.zone, func() {
+	s.after(s.size.sameRegionDelay, func() {
 		if t.dead {
 			c.request.Tried = append(slices.Clone(c.request.Tried), t.ID)
-			s.after(s.size.zone, func() { done(Result{Outcome: outcome.NotRun}) })
+			s.after(s.size.sameRegionDelay, func() { done(Result{Outcome: outcome.NotRun}) })
 			return
 		}
 		t.run(s, c.slower, func() {
-			s.after(s.size.zone, func() {
+			s.after(s.size.sameRegionDelay, func() {
 				res := Result{Outcome: outcome.Done, Status: 200, Latency: s.now.Sub(granted)}
 				if t.dead {
 					res = Result{Outcome: outcome.Unknown}
@@ -450,7 +451,7 @@
 	start := func() {
 		t.running++
 		service := simService * time.Duration(1000*slower*math.Exp(0.7*s.rand.NormFloat64()-0.245)) / 1000
-		if t.served++; t.served <= t.coldFor {
+		if t.served++; t.served <= t.coldUntilServed {
 			service *= coldFactor
 		}
 		s.after(service, func() {
@@ -463,7 +464,7 @@
 			done()
 		})
 	}
-	t.most = max(t.most, t.running+len(t.backlog)+1)
+	t.maxRequests = max(t.maxRequests, t.running+len(t.backlog)+1)
 	if t.running < t.Slots {
 		start()
 		return
@@ -486,9 +487,9 @@
 	}
 }
 
-// baseline picks a target of the VM's region, or of any where all its own
-// failed.
-func (s *sim) baseline(vm *simVM, tried []string) *simTarget {
+// pickBaseline picks a target for the policies without permits: of the VM's region, or of
+// any region if the request failed on a target before.
+func (s *sim) pickBaseline(vm *simVM, tried []string) *simTarget {
 	var best *simTarget
 	start := s.rand.IntN(len(s.ids))
 	for i := range s.ids {
--- a/pkg/dispatch/status.go
+++ b/pkg/dispatch/status.go
@@ -6,19 +6,20 @@
 	"crocusramp.dev/crocusramp/pkg/queue"
 )
 
-// Status is what a Scheduler holds and does, for operators.
+// Status is the state of a Scheduler for operators.
 type Status struct {
 	Region string       `json:"region"`
 	Pools  []PoolStatus `json:"pools"`
-	// HandedOver counts the requests that run in each region for this VM.
+	// HandedOver is the number of requests that this VM has handed over and that are in
+	// flight, by region.
 	HandedOver map[string]int64 `json:"handed_over"`
 }
 
 // PoolStatus is the state of a pool on this VM.
 type PoolStatus struct {
 	Name string `json:"name"`
-	// Permits is the number of held permits, Limit how many of them may be
-	// used now, and Running how many are.
+	// Permits is the number of held permits, Limit is how many of them may be used now,
+	// and Running is how many are in use.
 	Permits int `json:"permits"`
 	Limit   int `json:"limit"`
 	Running int `json:"running"`
@@ -34,13 +35,14 @@
 	Permits int    `json:"permits"`
 	Limit   int    `json:"limit"`
 	Running int    `json:"running"`
-	// Connections is this VM's part of the connections to the target.
+	// Connections is this VM's share of the connections to the target.
 	Connections int `json:"connections"`
-	// Draining is true for an operator's drain and for the target's own.
+	// Draining is set if an operator drains the target or the target reports that it is
+	// draining.
 	Draining bool `json:"draining"`
-	// Ejected targets get no requests after transport failures.
+	// Ejected is set if the target gets no requests after transport failures.
 	Ejected bool `json:"ejected"`
-	// Down targets say that they can run nothing.
+	// Down is set if the target reports that it can run no requests.
 	Down          bool  `json:"down"`
 	LatencyMicros int64 `json:"latency_us"`
 }
@@ -50,14 +52,14 @@
 	config.Shift
 	Seen    int64 `json:"seen"`
 	Shifted int64 `json:"shifted"`
-	// Evacuated counts requests that went to the destination because nothing
-	// could run here; they are not part of the shift.
+	// Evacuated counts requests that went to the destination because this region had no
+	// usable target. They do not count towards the shift.
 	Evacuated int64 `json:"evacuated"`
-	// RampPercent is the part of the cap that is used now.
+	// RampPercent is the percentage of the cap that is in use now.
 	RampPercent float64 `json:"ramp_percent"`
 }
 
-// Status returns the present state.
+// Status returns the current state.
 func (s *Scheduler) Status() Status {
 	in := s.inputs()
 	status := Status{Region: s.config.Self.Region, HandedOver: map[string]int64{}}
@@ -80,18 +82,18 @@
 		config.PriorityNormal: p.queue.LenClass(queue.Normal),
 		config.PriorityLow:    p.queue.LenClass(queue.Low),
 	}}
-	for _, b := range p.local {
-		t := TargetStatus{
-			ID: b.ID, Permits: b.held, Limit: b.allowed(in.now, p.believing), Running: b.running,
-			Connections: permit.Connections(b.Target, b.held),
-			Draining:    b.drained || b.health.ReportedDraining(in.now),
-			Ejected:     b.health.Ejected(), Down: b.health.ReportedDown(in.now),
-			LatencyMicros: b.health.Latency().Microseconds(),
+	for _, t := range p.localTargets {
+		ts := TargetStatus{
+			ID: t.ID, Permits: t.held, Limit: t.allowed(in.now, p.trustDownReports), Running: t.running,
+			Connections: permit.Connections(t.Target, t.held),
+			Draining:    t.drained || t.health.ReportedDraining(in.now),
+			Ejected:     t.health.Ejected(), Down: t.health.ReportedDown(in.now),
+			LatencyMicros: t.health.Latency().Microseconds(),
 		}
-		status.Permits += t.Permits
-		status.Limit += t.Limit
-		status.Running += t.Running
-		status.Targets = append(status.Targets, t)
+		status.Permits += ts.Permits
+		status.Limit += ts.Limit
+		status.Running += ts.Running
+		status.Targets = append(status.Targets, ts)
 	}
 	for _, s := range p.shifts {
 		status.Shifts = append(status.Shifts, ShiftStatus{
--- a/pkg/dispatch/waiting.go
+++ b/pkg/dispatch/waiting.go
@@ -13,18 +13,19 @@
 	"crocusramp.dev/crocusramp/pkg/queue"
 )
 
-// wait queues the request, or refuses it where that has no use.
-func (p *pool) wait(in inputs, r *request) (*lent, *ticket, *outcome.Refusal) {
-	bound := p.queueBound(in.now, r)
+// enqueue queues the request. It refuses it if its time is over, if no target can run it
+// or if the queue is full.
+func (p *pool) enqueue(in inputs, r *request) (*assignment, *waiter, *outcome.Refusal) {
+	bound := p.maxWait(in.now, r)
 	if bound <= 0 {
-		return nil, nil, refuseLate()
+		return nil, nil, refuseDeadline()
 	}
-	if r.HandedOver && p.unreachable(in.now) || p.hopeless(in, r) {
-		return nil, nil, p.refuseStranded(in.now)
+	if r.HandedOver && p.hasNoUsableTarget(in.now) || p.cannotRun(in, r) {
+		return nil, nil, p.refuseNoTarget(in.now)
 	}
-	t := &ticket{request: r, decided: make(chan struct{})}
+	w := &waiter{request: r, decided: make(chan struct{})}
 	e := &entry{Account: r.Account, Weight: r.Weight, Class: r.class, Cost: p.cost(r.Route.Name),
-		Expires: in.now.Add(bound), Value: t}
+		Expires: in.now.Add(bound), Value: w}
 	dropped := p.queue.Push(e)
 	if dropped == e {
 		return nil, nil, p.refuse(outcome.ReasonNoCapacity, p.retryAfter(in.now), "The queue of the pool is full.")
@@ -35,37 +36,37 @@
 		d.refusal = p.refuse(outcome.ReasonNoCapacity, p.retryAfter(in.now), "The queue of the pool is full.")
 		close(d.decided)
 	}
-	t.entry = e
-	return nil, t, nil
+	w.entry = e
+	return nil, w, nil
 }
 
-// queueBound returns how long the request may wait.
-func (p *pool) queueBound(now clock.Time, r *request) time.Duration {
+// maxWait returns how long the request may wait.
+func (p *pool) maxWait(now clock.Time, r *request) time.Duration {
 	remaining := r.deadline.Sub(now)
-	fraction := p.settings.QueueFraction[r.class]
-	bound := min(time.Duration(float64(remaining)*fraction), p.settings.QueueBound[r.class])
+	fraction := p.settings.MaxQueueWaitFraction[r.class]
+	bound := min(time.Duration(float64(remaining)*fraction), p.settings.MaxQueueWait[r.class])
 	if r.HandedOver {
-		bound = min(bound, p.settings.HandedOverBound)
+		bound = min(bound, p.settings.MaxHandedOverWait)
 	}
 	return bound
 }
 
-// serve grants what can be granted to the waiting requests. It must be called
-// after every event that can free a permit, here or in a peer.
-func (p *pool) serve(in inputs) {
+// serveQueue grants free permits to the waiting requests and hands over what exceeds them.
+// It must be called after every event that can free a permit on this VM or on a peer.
+func (p *pool) serveQueue(in inputs) {
 	p.update(in)
 	for p.queue.Len() > 0 {
-		if p.queue.LenClass(queue.Low) == p.queue.Len() && !p.roomForLow(in.now) {
-			p.spill(in)
+		if p.queue.LenClass(queue.Low) == p.queue.Len() && !p.hasRoomForLow(in.now) {
+			p.handOverQueued(in)
 			return
 		}
-		b := p.pick(in.now, p.queue.Peek().Value.request.Tried)
-		if b == nil {
-			// Only targets that failed the request may be left.
-			b = p.pick(in.now, nil)
+		t := p.pick(in.now, p.queue.Peek().Value.request.Tried)
+		if t == nil {
+			// All targets with a free permit may be in Tried; use one of them then.
+			t = p.pick(in.now, nil)
 		}
-		if b == nil {
-			p.spill(in)
+		if t == nil {
+			p.handOverQueued(in)
 			return
 		}
 		e, expired := p.queue.Pop(in.now)
@@ -73,120 +74,121 @@
 		if e == nil {
 			return
 		}
-		e.Value.lent = p.lend(in.now, b, e.Value.request)
+		e.Value.assignment = p.grantTarget(in.now, t, e.Value.request)
 		close(e.Value.decided)
 	}
 }
 
-// roomForLow reports whether enough permits are free for a request of the low
-// class, which leaves some to more urgent ones as long as there are such.
-func (p *pool) roomForLow(now clock.Time) bool {
-	if !p.urgent || now.Sub(p.lastUrgent) > lowReserveTime {
+// hasRoomForLow reports whether enough permits are free for a request of the low class.
+// Such requests leave some permits to higher classes while these have requests.
+func (p *pool) hasRoomForLow(now clock.Time) bool {
+	if !p.seenUrgent || now.Sub(p.lastUrgent) > lowReserveTime {
 		return true
 	}
 	free := 0
-	for _, b := range p.local {
-		free += max(0, min(b.free(), b.allowed(now, p.believing)-b.running))
+	for _, t := range p.localTargets {
+		free += max(0, min(t.freePermits(), t.allowed(now, p.trustDownReports)-t.running))
 	}
-	return lowReserve*free > p.capacity(now)
+	return lowReserveDivisor*free > p.capacity(now)
 }
 
-// spill hands waiting requests to peers, in the order of the queue, while the
-// peers have room and are nearer than the end of the wait here.
-func (p *pool) spill(in inputs) {
+// handOverQueued hands waiting requests over to peers in the order of the queue, until
+// tryHandOver finds no peer for the first of them.
+func (p *pool) handOverQueued(in inputs) {
 	for e := p.queue.Peek(); e != nil; e = p.queue.Peek() {
 		if !in.now.Before(e.Expires) {
 			p.queue.Remove(e)
 			p.expire(in.now, []*entry{e})
 			continue
 		}
-		l := p.overflow(in, e.Value.request, p.drainTime(in.now))
-		if l == nil {
+		a := p.tryHandOver(in, e.Value.request, p.queueDrainTime(in.now))
+		if a == nil {
 			return
 		}
-		// Pop takes out what Peek showed, since that has not expired.
+		// Pop returns the entry that Peek returned, because it has not expired.
 		e, _ = p.queue.Pop(in.now)
-		e.Value.lent = l
+		e.Value.assignment = a
 		close(e.Value.decided)
 	}
 }
 
-// tick serves the queue and moves waiting requests elsewhere: where nothing
-// can run here any more all of them, else as many as peers have room for.
+// tick serves the queue and then tries to hand over each request that still waits. It
+// refuses those that neither this VM nor a peer can run.
 func (p *pool) tick(in inputs) {
-	p.serve(in)
-	p.believing = p.believeDown(in.now)
+	p.serveQueue(in)
+	p.trustDownReports = p.shouldTrustDownReports(in.now)
 	for _, e := range p.queue.Entries() {
-		t := e.Value
+		w := e.Value
 		if !in.now.Before(e.Expires) {
 			p.queue.Remove(e)
 			p.expire(in.now, []*entry{e})
 			continue
 		}
-		if l := p.overflow(in, t.request, p.drainTime(in.now)); l != nil {
+		if a := p.tryHandOver(in, w.request, p.queueDrainTime(in.now)); a != nil {
 			p.queue.Remove(e)
-			t.lent = l
-			close(t.decided)
+			w.assignment = a
+			close(w.decided)
 			continue
 		}
-		if p.hopeless(in, t.request) {
+		if p.cannotRun(in, w.request) {
 			p.queue.Remove(e)
-			t.refusal = p.refuseStranded(in.now)
-			close(t.decided)
+			w.refusal = p.refuseNoTarget(in.now)
+			close(w.decided)
 		}
 	}
 }
 
-// drainTime estimates how long the queue would take to empty.
-func (p *pool) drainTime(now clock.Time) time.Duration {
-	return p.usualLatency() * time.Duration(p.queue.Len()) / time.Duration(max(1, p.capacity(now)))
+// queueDrainTime estimates how long the queue would take to empty.
+func (p *pool) queueDrainTime(now clock.Time) time.Duration {
+	return p.meanLatency() * time.Duration(p.queue.Len()) / time.Duration(max(1, p.capacity(now)))
 }
 
-// believeDown tells whether targets that claim to be down are believed.
-func (p *pool) believeDown(now clock.Time) bool {
+// shouldTrustDownReports reports whether to believe targets that report to be down.
+func (p *pool) shouldTrustDownReports(now clock.Time) bool {
 	down := 0
-	for _, b := range p.local {
-		if b.health.ReportedDown(now) {
+	for _, t := range p.localTargets {
+		if t.health.ReportedDown(now) {
 			down++
 		}
 	}
-	return health.TrustDownReports(down, len(p.local))
+	return health.TrustDownReports(down, len(p.localTargets))
 }
 
-// stranded reports whether no target here will take a request before lease
-// slots, drains or the targets' own drains change.
-func (p *pool) stranded(now clock.Time) bool {
-	for _, b := range p.local {
-		if b.held > 0 && !b.drained && !b.health.ReportedDraining(now) {
+// hasNoOpenTarget reports whether no local target will accept requests until lease slots,
+// operators' drains or the targets' own draining states change.
+func (p *pool) hasNoOpenTarget(now clock.Time) bool {
+	for _, t := range p.localTargets {
+		if t.held > 0 && !t.drained && !t.health.ReportedDraining(now) {
 			return false
 		}
 	}
 	return true
 }
 
-// hopeless reports whether the request can run neither here nor at any peer
-// before something changes, so that it need not wait.
-func (p *pool) hopeless(in inputs, r *request) bool {
-	if !p.stranded(in.now) {
+// cannotRun reports whether the request can run neither here nor at any peer until
+// the lease slots, drains or peers change. Waiting is then useless.
+func (p *pool) cannotRun(in inputs, r *request) bool {
+	if !p.hasNoOpenTarget(in.now) {
 		return false
 	}
 	peer := p.peers.choose(math.MaxInt64, p.peers.permits, func(peer *member.Peer) bool {
-		return p.openIn[peer.Region] && !p.drainedVMs[peer.ID] && !slices.Contains(r.refusedBy, peer.Incarnation)
+		return p.undrainedRegions[peer.Region] && !p.drainedVMs[peer.ID] && !slices.Contains(r.refusedBy, peer.Incarnation)
 	})
 	return peer == nil
 }
 
-// unreachable reports whether nothing can run here now for more than a moment.
-func (p *pool) unreachable(now clock.Time) bool {
-	for _, b := range p.local {
-		if b.held > 0 && !b.drained && !b.health.ReportedDraining(now) && !b.health.Ejected() {
+// hasNoUsableTarget reports whether no local target will accept requests for some time: in
+// addition to hasNoOpenTarget, it leaves out targets that are ejected.
+func (p *pool) hasNoUsableTarget(now clock.Time) bool {
+	for _, t := range p.localTargets {
+		if t.held > 0 && !t.drained && !t.health.ReportedDraining(now) && !t.health.Ejected() {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *pool) refuseStranded(now clock.Time) *outcome.Refusal {
+func (p *pool) refuseNoTarget(now clock.Time) *outcome.Refusal {
 	return p.refuse(outcome.ReasonNoCapacity, p.retryAfter(now), "No target of the pool can be reached.")
 }
 
@@ -197,14 +199,14 @@
 	}
 }
 
-// abandon takes a ticket out of the queue. It reports false where the ticket
+// abandon removes a request from the queue and refuses it. It returns false if the request
 // has been decided already.
-func (p *pool) abandon(now clock.Time, t *ticket) bool {
-	if !t.entry.Queued() {
+func (p *pool) abandon(now clock.Time, w *waiter) bool {
+	if !w.entry.Queued() {
 		return false
 	}
-	p.queue.Remove(t.entry)
-	t.refusal = p.refuseExpired(now)
+	p.queue.Remove(w.entry)
+	w.refusal = p.refuseExpired(now)
 	return true
 }
 
@@ -218,12 +220,13 @@
 	return outcome.Refuse(http.StatusServiceUnavailable, reason, retryAfter, detail)
 }
 
-func refuseLate() *outcome.Refusal {
+func refuseDeadline() *outcome.Refusal {
 	return outcome.Refuse(http.StatusGatewayTimeout, outcome.ReasonDeadline, 0, "The deadline passed before the request could be sent.")
 }
 
-// retryAfter estimates when the queue will have been served.
+// retryAfter estimates how long the queue takes to empty, within minRetryAfter and
+// maxRetryAfter.
 func (p *pool) retryAfter(now clock.Time) time.Duration {
-	wait := p.usualLatency() * time.Duration(p.queue.Len()+1) / time.Duration(max(1, p.capacity(now)))
-	return min(max(wait, leastRetryAfter), mostRetryAfter)
+	wait := p.meanLatency() * time.Duration(p.queue.Len()+1) / time.Duration(max(1, p.capacity(now)))
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
