--- a/pkg/lease/assign.go
+++ b/pkg/lease/assign.go
@@ -7,12 +7,12 @@
 	"crocusramp.dev/crocusramp/pkg/member"
 )
 
-// noteVacant finds the slots that may be taken: those that have no row, were
+// updateVacant updates the set of slots that may be acquired: those that have no row, were
 // released, have a dead holder or have not been renewed for a whole lease.
 // readStart is when the last read of the rows began.
-func (s *state) noteVacant(view *member.View, readStart clock.Time) {
+func (s *state) updateVacant(view *member.View, readStart clock.Time) {
 	for index := range s.slots {
-		if !s.free(index, view, readStart) {
+		if !s.isVacant(index, view, readStart) {
 			delete(s.vacant, index)
 			continue
 		}
@@ -22,14 +22,14 @@
 	}
 }
 
-// free reports whether the slot may be taken. Silence of the holder is no
-// reason: it may be frozen and go on later.
-func (s *state) free(index int, view *member.View, readStart clock.Time) bool {
+// isVacant reports whether the slot may be acquired. A holder that is merely silent keeps
+// its slots, because it may be frozen and resume later.
+func (s *state) isVacant(index int, view *member.View, readStart clock.Time) bool {
 	seen, ok := s.rows[index]
 	switch {
 	case !ok:
 		return true
-	case s.mine(seen.row):
+	case s.isOwn(seen.row):
 		return false
 	case seen.row.Released:
 		return true
@@ -39,14 +39,15 @@
 	return !readStart.Before(seen.since.Add(s.duration + s.margin))
 }
 
-// unheard stands for the incarnation of a VM that the platform lists and that
-// has not answered yet: it may be about to start.
-func unheard(vm string) string { return "unheard:" + vm }
+// placeholderIncarnation stands for the unknown incarnation of a VM that the platform lists
+// and that has not answered yet; the VM may be starting.
+func placeholderIncarnation(vm string) string { return "unheard:" + vm }
 
-// candidates returns the incarnations among which the slots of a region are
-// divided, in order of VM id: its live VMs or, where it has none, all. With
-// expected, VMs that have not answered yet count, in every region.
-func (s *state) candidates(view *member.View, region string, expected bool) []string {
+// candidates returns the incarnations among which the slots of a region are divided, in
+// order of VM ID: the live VMs of the region or, if there are none, those of all regions.
+// If includeUnheard is set, VMs that have not answered yet count as live VMs of every
+// region.
+func (s *state) candidates(view *member.View, region string, includeUnheard bool) []string {
 	var local, all []string
 	add := func(p *member.Peer) {
 		all = append(all, p.Incarnation)
@@ -64,8 +65,8 @@
 		switch {
 		case p.State == member.Live:
 			add(p)
-		case expected && p.State == member.Silent && p.Incarnation == "":
-			add(&member.Peer{Incarnation: unheard(p.ID), Region: region})
+		case includeUnheard && p.State == member.Silent && p.Incarnation == "":
+			add(&member.Peer{Incarnation: placeholderIncarnation(p.ID), Region: region})
 		}
 	}
 	if !selfAdded {
@@ -77,9 +78,9 @@
 	return all
 }
 
-// counts returns how many slots of the region each incarnation has, and each VM
-// as long as its incarnation is not known.
-func (s *state) counts(region string) map[string]int {
+// slotCounts returns how many slots of the region each incarnation holds. Each slot also
+// counts for the placeholder incarnation of its VM.
+func (s *state) slotCounts(region string) map[string]int {
 	n := map[string]int{}
 	for index, seen := range s.rows {
 		if s.region(index) != region || seen.row.Released {
@@ -87,16 +88,17 @@
 		}
 		if _, vacant := s.vacant[index]; !vacant {
 			n[seen.row.Incarnation]++
-			n[unheard(seen.row.VM)]++
+			n[placeholderIncarnation(seen.row.VM)]++
 		}
 	}
 	return n
 }
 
-// assign gives each vacant slot to the candidate with the fewest slots of its
-// region, so that VMs of one view agree without a message. A fleet that starts
-// leaves slots to the VMs that have not answered yet: what one VM took and
-// handed over would have to settle.
+// assign assigns each vacant slot to the candidate with the fewest slots of its region, so
+// that VMs with the same view agree without exchanging messages. While a fleet starts, it
+// also assigns slots to the VMs that have not answered yet. Otherwise the first VM would
+// acquire these slots and hand them over, and the new holders would have to wait until
+// the requests of the former one have ended.
 func (s *state) assign(view *member.View) map[int]string {
 	assigned := map[int]string{}
 	counts := map[string]map[string]int{}
@@ -106,29 +108,29 @@
 		}
 		region := s.region(index)
 		if counts[region] == nil {
-			counts[region] = s.counts(region)
+			counts[region] = s.slotCounts(region)
 		}
 		n := counts[region]
-		chosen := fewest(s.candidates(view, region, true), n)
+		chosen := withFewestSlots(s.candidates(view, region, true), n)
 		n[chosen]++
 		assigned[index] = chosen
 	}
 	return assigned
 }
 
-func fewest(candidates []string, n map[string]int) string {
+func withFewestSlots(candidates []string, counts map[string]int) string {
 	best := candidates[0]
 	for _, c := range candidates[1:] {
-		if n[c] < n[best] {
+		if counts[c] < counts[best] {
 			best = c
 		}
 	}
 	return best
 }
 
-// chooseGiven gives up slots where a live VM has at least two fewer of the
-// region than this one, or where this VM is no candidate.
-func (s *state) chooseGiven(view *member.View) {
+// chooseReleases starts to release slots of the regions in which a live VM holds at least
+// two fewer slots than this one, or in which this VM is not a candidate.
+func (s *state) chooseReleases(view *member.View) {
 	done := map[string]bool{}
 	for index := range s.slots {
 		region := s.region(index)
@@ -137,45 +139,45 @@
 		}
 		done[region] = true
 		for range s.surplus(view, region) {
-			s.giveOne(region)
+			s.releaseOne(region)
 		}
 	}
 }
 
-// surplus is how many slots of the region this VM gives up. It gives half of
-// the difference to the candidate that has the fewest, unless vacant slots
-// will make up for it.
+// surplus returns how many slots of the region this VM should release: half of the
+// difference to the candidate with the fewest slots. It returns 0 while the region has
+// vacant slots, which will reduce the difference, or slots that this VM is releasing.
 func (s *state) surplus(view *member.View, region string) int {
-	n := s.counts(region)
-	mine := n[s.self.Incarnation]
+	n := s.slotCounts(region)
+	own := n[s.self.Incarnation]
 	for index := range s.slots {
 		_, vacant := s.vacant[index]
-		if (vacant || s.giving[index]) && s.region(index) == region {
+		if (vacant || s.releasing[index]) && s.region(index) == region {
 			return 0
 		}
 	}
-	if mine == 0 {
+	if own == 0 {
 		return 0
 	}
 	candidates := s.candidates(view, region, false)
 	if !slices.Contains(candidates, s.self.Incarnation) {
-		return mine
+		return own
 	}
-	least := n[fewest(candidates, n)]
+	least := n[withFewestSlots(candidates, n)]
 	for _, c := range candidates {
-		// One VM gives at a time: the first of those that have the most.
-		if n[c] > mine || (n[c] == mine && c < s.self.Incarnation) {
+		// Only one VM releases slots at a time: the first of those with the most slots.
+		if n[c] > own || (n[c] == own && c < s.self.Incarnation) {
 			return 0
 		}
 	}
-	return (mine - least) / 2
+	return (own - least) / 2
 }
 
-func (s *state) giveOne(region string) {
+func (s *state) releaseOne(region string) {
 	for index := s.slots - 1; index >= 0; index-- {
 		if _, ok := s.held[index]; ok && s.region(index) == region {
 			delete(s.held, index)
-			s.giving[index] = true
+			s.releasing[index] = true
 			return
 		}
 	}
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -1,7 +1,7 @@
-// Package lease holds the numbered slots that the fleet's limits are cut into.
-// A slot belongs to one incarnation of one VM at a time, by a lease in the
-// platform's table; it carries a fixed fraction of every rate limit and of the
-// permits of the targets in its region.
+// Package lease manages the numbered slots into which the fleet's limits are divided.
+// A lease in the platform's table assigns each slot to at most one incarnation of one VM
+// at a time. A slot carries a fixed fraction of every rate limit and of the permits of
+// the targets in its region.
 package lease
 
 import "crocusramp.dev/crocusramp/pkg/clock"
@@ -10,25 +10,24 @@
 type Slot struct {
 	// Index counts from 0.
 	Index int
-	// Region is where the targets are whose permits the slot carries.
+	// Region is the region of the targets whose permits the slot carries.
 	Region string
-	// Since is when this VM took the slot over.
+	// Since is when this VM acquired the slot.
 	Since clock.Time
-	// Until is when the VM must stop using the slot, unless renewed. It is
-	// already shortened by the margin for clock drift.
+	// Until is when the VM must stop using the slot unless it renews the lease. The
+	// margin for clock drift is already subtracted.
 	Until clock.Time
-	// New reports that the slot had no holder before this VM. Else a former
-	// holder may have lent parts of it that are still in use.
+	// New reports that the slot had no holder before this VM. Otherwise, parts of it that
+	// a former holder granted or lent may still be in use.
 	New bool
-	// Idle reports that the last holder had no request running under the slot
-	// when it released it.
+	// Idle reports that no request ran under the slot when the last holder released it.
 	Idle bool
-	// Kept slots are never lent. So nobody else can use a part of one, and the
-	// next process of its VM may use it at once.
+	// Kept slots are never lent. Hence no other VM can use a part of such a slot, and the
+	// next process of its VM may use it immediately.
 	Kept bool
 }
 
-// Valid reports whether the slot may be used at now.
+// Valid reports whether the slot may be used at the time now.
 func (s Slot) Valid(now clock.Time) bool { return now.Before(s.Until) }
 
 // Holding is an immutable list of held slots, in order of Index.
@@ -40,9 +39,9 @@
 	Generation uint64
 }
 
-// Holder publishes what this VM holds. Holding never returns nil and costs one
-// atomic load. Users check Slot.Valid at each decision: the VM may have been
-// paused since the holding was published.
+// Holder publishes the slots that this VM holds. Holding never returns nil and costs one
+// atomic load. Callers must check Slot.Valid at each decision, because the VM may have
+// been paused since the holding was published.
 type Holder interface {
 	Holding() *Holding
 }
--- a/pkg/lease/manager.go
+++ b/pkg/lease/manager.go
@@ -20,54 +20,54 @@
 	defaultSlots    = 16
 	defaultDuration = 15 * time.Minute
 	defaultPoll     = time.Second
-	// marginDivisor makes the default margin 1/50 of the lease: clocks may
-	// differ in speed by 2 %.
+	// marginDivisor makes the default margin 1/50 of the lease duration: the speeds of
+	// two clocks may differ by 2 %.
 	marginDivisor = 50
-	// patiencePolls is how many polls a vacant slot is left to the VM that it
-	// is assigned to.
-	patiencePolls = 5
-	// maxBackoffPolls bounds the pause after failures of the table.
+	// takeoverDelayPolls is the number of polls for which a vacant slot is reserved for
+	// the VM to which it is assigned.
+	takeoverDelayPolls = 5
+	// maxBackoffPolls bounds the number of polls to skip after failed calls of the table.
 	maxBackoffPolls = 8
-	// maxReleasePause bounds the pause between attempts to release.
+	// maxReleasePause bounds the pause between two attempts of Release.
 	maxReleasePause = 200 * time.Millisecond
-	// callTimeout bounds one call of the table.
+	// callTimeout bounds the calls of the table in one poll.
 	callTimeout = 5 * time.Second
 )
 
-// ErrNotReleased reports that slots may still name this VM as their holder;
-// they become free when its lease ends.
-var ErrNotReleased = errors.New("slots not released")
+// ErrNotReleased reports that rows of slots may still name this VM as their holder. Other
+// VMs can acquire these slots when the leases have ended.
+var ErrNotReleased = errors.New("the release of slots is not confirmed")
 
-// errNotDecided reports that the loop or the context ended before a decision.
-var errNotDecided = errors.New("control loop did not answer")
+// errNotDecided reports that the control loop or the context ended before the decision.
+var errNotDecided = errors.New("control loop or context ended")
 
-// Config says what a Manager works on.
+// Config holds the settings and dependencies of a Manager.
 type Config struct {
 	Table   storage.Table
 	Loop    *control.Loop
 	Clock   clock.Clock
 	Members member.Source
-	// Self identifies this VM. Its Incarnation must be unique to this run of
-	// the process: two holders of one incarnation would share slots.
+	// Self identifies this VM. Its Incarnation must be unique to this process: two
+	// holders with the same incarnation would use the same slots at the same time.
 	Self member.Peer
-	// Slots is the number of slots of the fleet; default 16. All VMs must have
-	// the same number.
+	// Slots is the number of slots of the fleet; default 16. It must be the same on all
+	// VMs.
 	Slots int
-	// Regions are the home regions of the slots, in turn; none means that all
-	// slots are at home everywhere. All VMs must have the same list.
+	// Regions are the home regions of the slots, assigned round robin. If it is empty,
+	// each VM uses its own region as the home of all slots. It must be the same on all VMs.
 	Regions []string
-	// Duration is how long a lease runs; default 15 min. Leases must outlast
-	// outages of the table; the share of a VM that is cut off or frozen is
-	// stranded for as long.
+	// Duration is how long a lease runs; default 15 min. Leases must outlast outages of
+	// the table. On the other hand, nobody can use the share of a VM that is partitioned
+	// or frozen until its leases end.
 	Duration time.Duration
-	// Margin is the most that two clocks may drift apart in a Duration;
-	// default Duration/50.
+	// Margin is the largest drift between two clocks during Duration; default
+	// Duration/50.
 	Margin time.Duration
 	// Poll is how often the rows are read; default 1 s.
 	Poll time.Duration
-	// Retire ends the granting of permits of a slot that is given up and
-	// reports whether none of them is in use. The next holder waits for the
-	// requests of this one where it reports false, or is nil.
+	// Retire stops the granting of permits of a slot that is being released and reports
+	// whether none of them is in use. If it reports false or is nil, the next holder
+	// waits until the requests of this VM have ended.
 	Retire  func(slot int) bool
 	Log     zerolog.Logger
 	Metrics metrics.Registry
@@ -91,43 +91,43 @@
 	}
 }
 
-// SlotStatus tells who holds a slot, as far as this VM knows.
+// SlotStatus tells which VM holds a slot, according to this VM's last read.
 type SlotStatus struct {
 	Index  int
 	Region string
-	// VM and Incarnation are empty where the slot has no holder.
+	// VM and Incarnation are empty if the slot has no holder.
 	VM          string
 	Incarnation string
-	// Held reports that this VM uses the slot.
+	// Held reports that this VM may use the slot while Remaining is above 0.
 	Held bool
-	// Remaining is the time until this VM's lease ends; 0 for other holders.
+	// Remaining is the time until this VM's lease ends; 0 if it does not hold the slot.
 	Remaining time.Duration
 }
 
-// Manager takes, renews and hands over slots. It implements Holder.
+// Manager acquires, renews and releases this VM's slots. It implements Holder.
 type Manager struct {
 	cfg     Config
 	holding atomic.Pointer[Holding]
 	status  atomic.Pointer[[]SlotStatus]
 
-	// The fields below are used on the control loop only.
-	state   *state
-	busy    bool
-	skip    int // polls left out after failures
-	backoff int // polls to leave out after the next failure
+	// The fields below may only be accessed on the control loop.
+	state     *state
+	polling   bool
+	skipPolls int // number of polls to skip
+	backoff   int // number of polls skipped after the last failure; 0 after a success
 
 	takeovers, conflicts, failures metrics.Counter
 	held                           metrics.Gauge
 }
 
-// NewManager returns a Manager that holds nothing until Start.
+// NewManager returns a Manager that holds no slots until Start is called.
 func NewManager(cfg Config) *Manager {
 	cfg.setDefaults()
 	m := &Manager{
 		cfg: cfg,
-		state: newState(terms{
+		state: newState(params{
 			self: cfg.Self, slots: cfg.Slots, regions: cfg.Regions,
-			duration: cfg.Duration, margin: cfg.Margin, patience: patiencePolls * cfg.Poll, retire: cfg.Retire,
+			duration: cfg.Duration, margin: cfg.Margin, takeoverDelay: takeoverDelayPolls * cfg.Poll, retire: cfg.Retire,
 		}),
 		conflicts: metrics.GetOrRegisterCounter("lease.conflicts", cfg.Metrics),
 		failures:  metrics.GetOrRegisterCounter("lease.failures", cfg.Metrics),
@@ -139,7 +139,7 @@
 	return m
 }
 
-// Start polls the table until ctx ends. It returns at once.
+// Start starts to poll the table, until ctx ends. It returns immediately.
 func (m *Manager) Start(ctx context.Context) {
 	m.cfg.Loop.Every(ctx, m.cfg.Poll, func() { m.poll(ctx) })
 }
@@ -147,44 +147,44 @@
 // Holding returns the slots that this VM holds.
 func (m *Manager) Holding() *Holding { return m.holding.Load() }
 
-// Status tells who holds which slot, in order of index.
+// Status returns the status of all slots, in order of index.
 func (m *Manager) Status() []SlotStatus { return *m.status.Load() }
 
-// poll starts one round of read, decision and write, unless one is under way.
+// poll starts one round of read, decision and write unless the previous one still runs.
 func (m *Manager) poll(ctx context.Context) {
-	if m.busy || m.state.stopping {
+	if m.polling || m.state.stopping {
 		return
 	}
-	if m.skip > 0 {
-		m.skip--
+	if m.skipPolls > 0 {
+		m.skipPolls--
 		return
 	}
-	m.busy = true
+	m.polling = true
 	m.cfg.Loop.Go(ctx, func(ctx context.Context) {
 		err := m.round(ctx)
-		m.cfg.Loop.Post(func() { m.finish(err) })
+		m.cfg.Loop.Post(func() { m.finishPoll(err) })
 	})
 }
 
-func (m *Manager) finish(err error) {
-	m.busy = false
+func (m *Manager) finishPoll(err error) {
+	m.polling = false
 	if err == nil {
 		m.backoff = 0
 		return
 	}
 	m.failures.Inc(1)
-	m.cfg.Log.Warn().Err(err).Msg("slots could not be read or written")
+	m.cfg.Log.Warn().Err(err).Msg("poll of the lease table failed")
 	m.backoff = min(max(1, 2*m.backoff), maxBackoffPolls)
-	m.skip = m.backoff
+	m.skipPolls = m.backoff
 }
 
-// round reads the rows and writes what the state machine plans. It runs off
-// the loop and enters it for each step of the state machine.
+// round reads the rows and writes what the state machine plans. It must not run on the
+// control loop; it enters the loop for each step of the state machine.
 func (m *Manager) round(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	start := m.cfg.Clock.Now()
-	items, err := m.list(ctx)
+	items, err := m.readRows(ctx)
 	if err != nil {
 		return fmt.Errorf("read slots: %w", err)
 	}
@@ -198,14 +198,14 @@
 		return nil
 	}
 	err = m.cfg.Table.Transact(ctx, writes)
-	m.cfg.Loop.Call(ctx, func() { m.settle(writes, err) })
+	m.cfg.Loop.Call(ctx, func() { m.recordWrites(writes, err) })
 	if err != nil {
 		return fmt.Errorf("write slots: %w", err)
 	}
 	return nil
 }
 
-func (m *Manager) list(ctx context.Context) ([]storage.Item, error) {
+func (m *Manager) readRows(ctx context.Context) ([]storage.Item, error) {
 	var all []storage.Item
 	after := ""
 	for {
@@ -221,8 +221,9 @@
 	}
 }
 
-// decide runs on the loop. Slots that are given up are out of the published
-// holding before the writes that say so are sent.
+// decide applies the rows that were read and returns the planned writes. It publishes a
+// holding without the slots that are being released before their release is written. It
+// must run on the control loop.
 func (m *Manager) decide(items []storage.Item, start, end clock.Time) []storage.Write {
 	m.state.observe(items, end)
 	writes := m.state.plan(m.cfg.Members.View(), start, m.cfg.Clock.Now())
@@ -230,24 +231,24 @@
 	return writes
 }
 
-// settle runs on the loop.
-func (m *Manager) settle(writes []storage.Write, err error) {
+// recordWrites applies the result of the writes. It must run on the control loop.
+func (m *Manager) recordWrites(writes []storage.Write, err error) {
 	var conflict *storage.ConflictError
 	if errors.As(err, &conflict) {
 		m.conflicts.Inc(1)
 	}
-	m.state.written(writes, err, m.cfg.Clock.Now())
+	m.state.recordResult(writes, err, m.cfg.Clock.Now())
 	m.publish()
 }
 
-// publish makes the state visible to other goroutines.
+// publish publishes the holding and the status to other goroutines.
 func (m *Manager) publish() {
 	old := m.holding.Load()
 	next := &Holding{Total: m.cfg.Slots, Slots: m.state.holding(), Generation: old.Generation}
-	if !sameSet(old.Slots, next.Slots) {
+	if !sameIndexes(old.Slots, next.Slots) {
 		next.Generation++
 		m.takeovers.Inc(1)
-		m.cfg.Log.Info().Int("held", len(next.Slots)).Msg("set of held slots changed")
+		m.cfg.Log.Info().Int("held", len(next.Slots)).Msg("the set of held lease slots changed")
 	}
 	if !sameSlots(old.Slots, next.Slots) {
 		m.holding.Store(next)
@@ -285,7 +286,7 @@
 	return true
 }
 
-func sameSet(a, b []Slot) bool {
+func sameIndexes(a, b []Slot) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -297,8 +298,8 @@
 	return true
 }
 
-// Release gives all slots up, so that other VMs take them at once. It stops
-// using them before it writes and tries again until ctx ends; its error is
+// Release releases all slots, so that other VMs can acquire them immediately. It stops
+// their use before it writes the release, and retries until ctx ends. Its error wraps
 // ErrNotReleased.
 func (m *Manager) Release(ctx context.Context) error {
 	m.cfg.Loop.Call(ctx, func() {
@@ -307,11 +308,11 @@
 	})
 	for {
 		err := m.round(ctx)
-		remaining := m.remaining(ctx)
-		if err == nil && remaining == 0 {
+		unreleased := m.unreleased(ctx)
+		if err == nil && unreleased == 0 {
 			return nil
 		}
-		if remaining < 0 && ctx.Err() == nil {
+		if unreleased < 0 && ctx.Err() == nil {
 			return fmt.Errorf("%w: control loop has ended", ErrNotReleased)
 		}
 		select {
@@ -322,12 +323,12 @@
 	}
 }
 
-// remaining is the number of slots whose release is not confirmed, or -1 where
-// the loop or ctx has ended.
-func (m *Manager) remaining(ctx context.Context) int {
-	// The loop may run the function after Call has returned.
+// unreleased returns the number of slots whose release is not confirmed, or -1 if the
+// control loop or ctx has ended.
+func (m *Manager) unreleased(ctx context.Context) int {
+	// The channel is buffered because the loop may run the function after Call has returned.
 	n := make(chan int, 1)
-	if !m.cfg.Loop.Call(ctx, func() { n <- len(m.state.giving) }) {
+	if !m.cfg.Loop.Call(ctx, func() { n <- len(m.state.releasing) }) {
 		return -1
 	}
 	return <-n
--- a/pkg/lease/manager_test.go
+++ b/pkg/lease/manager_test.go
@@ -22,16 +22,16 @@
 const (
 	managerSlots = 16
 	managerPoll  = 5 * time.Millisecond
-	// patienceForTests bounds waits for something that happens in milliseconds.
-	patienceForTests = 30 * time.Second
+	// waitTimeout bounds the wait for a condition that usually holds within milliseconds.
+	waitTimeout = 30 * time.Second
 )
 
 type viewSource struct{ view atomic.Pointer[member.View] }
 
 func (s *viewSource) View() *member.View { return s.view.Load() }
 
-// managers is a fleet on one table, with the system's clock.
-type managers struct {
+// managerFleet is a fleet of Managers that share a table and use the system clock.
+type managerFleet struct {
 	table *memoryTable
 	peers []member.Peer
 	views []*viewSource
@@ -40,8 +40,8 @@
 	ended sync.WaitGroup
 }
 
-func startManagers(t *testing.T, n int) *managers {
-	f := &managers{table: newMemoryTable()}
+func startManagers(t *testing.T, n int) *managerFleet {
+	f := &managerFleet{table: newMemoryTable()}
 	for i := range n {
 		id := fmt.Sprintf("vm-%d", i)
 		f.peers = append(f.peers, member.Peer{ID: id, Incarnation: id + "/1", Region: "a"})
@@ -58,8 +58,8 @@
 	return f
 }
 
-// start starts the i-th manager, for its peer's present incarnation.
-func (f *managers) start(i int) {
+// start starts or restarts the i-th manager with the current incarnation of its peer.
+func (f *managerFleet) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	loop := control.NewLoop()
 	f.ended.Go(func() { loop.Run(ctx) })
@@ -77,7 +77,7 @@
 	m.Start(ctx)
 }
 
-func (f *managers) view(i int) *member.View {
+func (f *managerFleet) view(i int) *member.View {
 	v := &member.View{Self: f.peers[i], Complete: true}
 	for j, p := range f.peers {
 		if j != i {
@@ -87,7 +87,7 @@
 	return v
 }
 
-func (f *managers) counts() (list []int, total int) {
+func (f *managerFleet) counts() (list []int, total int) {
 	now := clock.System{}.Now()
 	for _, m := range f.list {
 		n := 0
@@ -101,22 +101,22 @@
 	return list, total
 }
 
-func (f *managers) wait(t *testing.T, what string, ok func(counts []int, total int) bool) {
+func (f *managerFleet) wait(t *testing.T, what string, ok func(counts []int, total int) bool) {
 	t.Helper()
-	deadline := time.Now().Add(patienceForTests)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		list, total := f.counts()
 		if ok(list, total) {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: slots by VM: %v", what, list)
+			t.Fatalf("timeout while waiting for %s; slots by VM: %v", what, list)
 		}
 		time.Sleep(managerPoll)
 	}
 }
 
-func spread(list []int, total int) bool {
+func evenlySpread(list []int, total int) bool {
 	for _, n := range list {
 		if n < managerSlots/len(list) {
 			return false
@@ -128,18 +128,18 @@
 func TestManagersShareAndRelease(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	f := startManagers(t, 3)
-	f.wait(t, "start", spread)
+	f.wait(t, "start", evenlySpread)
 	if err := f.list[0].Release(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if n := len(f.list[0].Holding().Slots); n != 0 {
-		t.Errorf("%d slots held after the release", n)
+		t.Errorf("%d slots held after the release, want 0", n)
 	}
 	left := *f.views[1].View()
 	left.Peers = left.Peers[1:]
 	f.views[1].view.Store(&left)
 	f.wait(t, "release", func(list []int, total int) bool { return list[0] == 0 && total == managerSlots })
-	// The status is that of the last poll.
+	// Status is updated by polls only.
 	f.wait(t, "status", func([]int, int) bool {
 		for _, s := range f.list[1].Status() {
 			if s.VM == "" || s.VM == f.peers[0].ID {
@@ -156,7 +156,7 @@
 
 func TestReleaseWhileTheTableIsDown(t *testing.T) {
 	f := startManagers(t, 1)
-	f.wait(t, "start", spread)
+	f.wait(t, "start", evenlySpread)
 	f.table.set(func(m *memoryTable) { m.down = true })
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
@@ -164,7 +164,7 @@
 		t.Errorf("Release: %v, want ErrNotReleased", err)
 	}
 	if n := len(f.list[0].Holding().Slots); n != 0 {
-		t.Errorf("%d slots in use after Release", n)
+		t.Errorf("%d slots held after Release, want 0", n)
 	}
 }
 
@@ -172,12 +172,13 @@
 	return slices.ContainsFunc(h.Slots, func(s Slot) bool { return s.Index == index })
 }
 
-// TestAllRestartedAtOnce: every VM comes back under a new incarnation, without
-// a clean stop. Its own return proves that its former incarnation is gone; the
-// others' former slots stay until heartbeats prove the same of them.
+// TestAllRestartedAtOnce checks that, when all VMs restart with new incarnations and without
+// a clean stop, a VM acquires only the slots of its own former incarnation, which its
+// restart proves dead. It must not acquire the slots of the other former incarnations
+// until heartbeats prove that these are dead too.
 func TestAllRestartedAtOnce(t *testing.T) {
 	f := startManagers(t, 3)
-	f.wait(t, "start", spread)
+	f.wait(t, "start", evenlySpread)
 	former := map[string]*Holding{}
 	for i, p := range f.peers {
 		former[p.ID] = f.list[i].Holding()
@@ -199,7 +200,7 @@
 	for i, m := range f.list {
 		for _, s := range m.Holding().Slots {
 			if !holds(former[f.peers[i].ID], s.Index) {
-				t.Errorf("%s took slot %d without evidence that its holder is gone", f.peers[i].ID, s.Index)
+				t.Errorf("%s acquired slot %d without proof that its holder is dead", f.peers[i].ID, s.Index)
 			}
 		}
 	}
@@ -210,5 +211,5 @@
 		}
 		src.view.Store(v)
 	}
-	f.wait(t, "restart", spread)
+	f.wait(t, "restart", evenlySpread)
 }
--- a/pkg/lease/state.go
+++ b/pkg/lease/state.go
@@ -12,10 +12,11 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// partition holds one item for each slot, sorted by zero-padded index.
+// partition is the partition of the table with one item for each slot, sorted by
+// zero-padded index.
 const partition = "slot"
 
-// Row is the value of a slot's item in the table.
+// Row is the value of a slot's item in the table, encoded as JSON.
 type Row struct {
 	VM          string `json:"vm"`
 	Incarnation string `json:"incarnation"`
@@ -23,39 +24,39 @@
 	Counter int64 `json:"counter"`
 	// Region is the home region of the slot.
 	Region string `json:"region"`
-	// Released rows have no holder; VM and Incarnation name the last one.
+	// Released is set if the slot has no holder; VM and Incarnation then name the last one.
 	Released bool `json:"released,omitempty"`
-	// Idle released rows had no request running under them.
+	// Idle is set in a released row if no request ran under the slot at the release.
 	Idle bool `json:"idle,omitempty"`
 }
 
-func key(index int) storage.Key {
+func slotKey(index int) storage.Key {
 	return storage.Key{Partition: partition, Sort: fmt.Sprintf("%06d", index)}
 }
 
-// terms are the fixed parameters of the state machine.
-type terms struct {
+// params are the fixed parameters of the state machine.
+type params struct {
 	self     member.Peer
 	slots    int
 	regions  []string
 	duration time.Duration
 	margin   time.Duration
-	// patience is how long a vacant slot is left to the VM that it is
-	// assigned to before any VM takes it.
-	patience time.Duration
-	// retire ends the granting of permits of a slot and reports whether none
-	// is in use; nil is never.
+	// takeoverDelay is how long a vacant slot is reserved for the VM to which it is
+	// assigned, before any VM may acquire it.
+	takeoverDelay time.Duration
+	// retire stops the granting of permits of a slot and reports whether none is in use;
+	// a nil function counts as false.
 	retire func(index int) bool
 }
 
-func (t *terms) region(index int) string {
-	if len(t.regions) == 0 {
-		return t.self.Region
+func (p *params) region(index int) string {
+	if len(p.regions) == 0 {
+		return p.self.Region
 	}
-	return t.regions[index%len(t.regions)]
+	return p.regions[index%len(p.regions)]
 }
 
-// heldSlot is a slot that this VM may use.
+// heldSlot is a slot that this VM may use until its lease ends.
 type heldSlot struct {
 	since   clock.Time
 	until   clock.Time
@@ -64,16 +65,16 @@
 	idle    bool
 }
 
-// seenRow is the last known item of a slot.
+// seenRow is the last known row of a slot.
 type seenRow struct {
 	revision int64
 	row      Row
-	// since is when a read that showed this revision had ended. The holder
-	// wrote the revision before it, so its lease began before it.
+	// since is when the first read that returned this revision had ended. The holder
+	// wrote the revision earlier, so its lease began earlier.
 	since clock.Time
 }
 
-// attempt is a write whose effect may not be known yet.
+// attempt is a write that takes or renews a slot and whose outcome may be unknown.
 type attempt struct {
 	counter int64
 	sent    clock.Time
@@ -81,42 +82,45 @@
 	idle    bool
 }
 
-// state decides which slots to take, renew and give up. It has no clock and
-// does no I/O: the runner tells it what was read and how writes ended.
+// state is the state machine that decides which slots to acquire, renew and release. It
+// reads no clock and does no I/O: the caller passes the times, the rows that were read
+// and the results of writes.
 type state struct {
-	terms
+	params
 	counter int64
 	rows    map[int]seenRow
 	held    map[int]heldSlot
-	// giving holds the slots that this VM no longer uses but whose row still
-	// names it.
-	giving   map[int]bool
+	// releasing holds the slots that this VM no longer uses but whose rows still name it
+	// as the holder.
+	releasing map[int]bool
+	// vacant maps the slots that may be acquired to the start of the read that first
+	// found them vacant.
 	vacant   map[int]clock.Time
 	attempts map[int][]attempt
 	stopping bool
 }
 
-func newState(t terms) *state {
+func newState(p params) *state {
 	return &state{
-		terms:    t,
-		rows:     map[int]seenRow{},
-		held:     map[int]heldSlot{},
-		giving:   map[int]bool{},
-		vacant:   map[int]clock.Time{},
-		attempts: map[int][]attempt{},
+		params:    p,
+		rows:      map[int]seenRow{},
+		held:      map[int]heldSlot{},
+		releasing: map[int]bool{},
+		vacant:    map[int]clock.Time{},
+		attempts:  map[int][]attempt{},
 	}
 }
 
-// observe takes in a complete read of the partition that ended at end.
+// observe applies a complete read of the partition that ended at end.
 func (s *state) observe(items []storage.Item, end clock.Time) {
 	present := map[string]storage.Item{}
 	for _, item := range items {
 		present[item.Sort] = item
 	}
 	for index := range s.slots {
-		item, ok := present[key(index).Sort]
+		item, ok := present[slotKey(index).Sort]
 		if !ok {
-			s.lose(index)
+			s.dropSlot(index)
 			delete(s.rows, index)
 			continue
 		}
@@ -131,30 +135,31 @@
 	}
 	if !known || item.Revision != seen.revision {
 		seen = seenRow{revision: item.Revision, since: end}
-		// A row that cannot be read is one that someone else holds until it
-		// has been unchanged for a lease.
+		// A row that cannot be decoded counts as held by another VM until it has been
+		// unchanged for the duration of a lease.
 		_ = json.Unmarshal(item.Value, &seen.row)
 		s.rows[index] = seen
 	}
-	if !s.mine(seen.row) {
-		s.lose(index)
+	if !s.isOwn(seen.row) {
+		s.dropSlot(index)
 		return
 	}
 	s.confirm(index, seen.row.Counter, end)
 }
 
-func (s *state) mine(r Row) bool {
+func (s *state) isOwn(r Row) bool {
 	return !r.Released && r.Incarnation == s.self.Incarnation
 }
 
-// lose forgets a slot whose row names another holder or none.
-func (s *state) lose(index int) {
+// dropSlot ends the use of a slot whose row names another holder or none.
+func (s *state) dropSlot(index int) {
 	delete(s.held, index)
-	delete(s.giving, index)
+	delete(s.releasing, index)
 }
 
-// confirm notes that the attempt with this counter took effect. The lease runs
-// from before the write was sent.
+// confirm records that the attempt with this counter took effect. The lease starts when
+// the write was sent: if it started at the response, it could end after other VMs have
+// found the slot vacant.
 func (s *state) confirm(index int, counter int64, now clock.Time) {
 	i := slices.IndexFunc(s.attempts[index], func(a attempt) bool { return a.counter == counter })
 	if i < 0 {
@@ -162,7 +167,7 @@
 	}
 	a := s.attempts[index][i]
 	s.attempts[index] = slices.Delete(s.attempts[index], 0, i+1)
-	if s.giving[index] {
+	if s.releasing[index] {
 		return
 	}
 	h, ok := s.held[index]
@@ -174,43 +179,42 @@
 	s.held[index] = h
 }
 
-// written takes in the result of a transaction that plan returned.
-func (s *state) written(writes []storage.Write, err error, now clock.Time) {
+// recordResult applies the result of a transaction with writes that plan returned.
+func (s *state) recordResult(writes []storage.Write, err error, now clock.Time) {
 	if err != nil {
-		return // Reading back settles it; a write that failed changed nothing.
+		return // The next read shows whether the writes took effect; a failed write changed nothing.
 	}
 	for _, w := range writes {
-		index, row := decode(w)
+		index, row := decodeWrite(w)
 		s.rows[index] = seenRow{revision: w.IfRevision + 1, row: row, since: now}
-		if !s.mine(row) {
-			s.lose(index)
+		if !s.isOwn(row) {
+			s.dropSlot(index)
 			continue
 		}
 		s.confirm(index, row.Counter, now)
 	}
 }
 
-func decode(w storage.Write) (int, Row) {
+func decodeWrite(w storage.Write) (int, Row) {
 	index, err := strconv.Atoi(w.Sort)
 	if err != nil {
-		panic(fmt.Sprintf("lease: own key does not decode: %v", err))
+		panic(fmt.Sprintf("lease: cannot decode the key of an own write: %v", err))
 	}
 	var row Row
 	if err := json.Unmarshal(w.Value, &row); err != nil {
-		panic(fmt.Sprintf("lease: own row does not decode: %v", err))
+		panic(fmt.Sprintf("lease: cannot decode the row of an own write: %v", err))
 	}
 	return index, row
 }
 
-// plan returns the writes of the next transaction, or none: it gives up slots
-// first, then renews, then takes. The slots that it gives up are out of use
-// from now on.
+// plan returns the writes of the next transaction, or none. Releases come first, then
+// renewals, then acquisitions. The slots that it releases are no longer used from now on.
 func (s *state) plan(view *member.View, readStart, now clock.Time) []storage.Write {
-	s.noteVacant(view, readStart)
+	s.updateVacant(view, readStart)
 	if s.stopping {
-		s.giveAll()
+		s.releaseAll()
 	} else {
-		s.chooseGiven(view)
+		s.chooseReleases(view)
 	}
 	if writes := s.releases(); len(writes) > 0 || s.stopping {
 		return writes
@@ -218,21 +222,21 @@
 	if writes := s.renewals(now); len(writes) > 0 {
 		return writes
 	}
-	return s.takeovers(view, now)
+	return s.acquisitions(view, now)
 }
 
 func (s *state) releases() []storage.Write {
 	var writes []storage.Write
 	for index := range s.slots {
-		if s.giving[index] {
-			writes = append(writes, s.write(index, true))
+		if s.releasing[index] {
+			writes = append(writes, s.newWrite(index, true))
 		}
 	}
 	return limitWrites(writes)
 }
 
-// renewals renews everything that is held as soon as one slot is due, to keep
-// all in one transaction.
+// renewals returns the renewals of all held slots as soon as one of them is due, so that
+// they stay in one transaction.
 func (s *state) renewals(now clock.Time) []storage.Write {
 	due := false
 	var writes []storage.Write
@@ -246,43 +250,43 @@
 	}
 	for index := range s.slots {
 		if _, ok := s.held[index]; ok {
-			writes = append(writes, s.attemptWrite(index, now))
+			writes = append(writes, s.acquireWrite(index, now))
 		}
 	}
 	return limitWrites(writes)
 }
 
-func (s *state) takeovers(view *member.View, now clock.Time) []storage.Write {
+func (s *state) acquisitions(view *member.View, now clock.Time) []storage.Write {
 	var writes []storage.Write
 	assigned := s.assign(view)
 	for index := range s.slots {
 		since, vacant := s.vacant[index]
-		overdue := !now.Before(since.Add(s.patience))
-		mine := view.Complete && assigned[index] == s.self.Incarnation
-		if vacant && (mine || overdue) || s.orphaned(index) {
-			writes = append(writes, s.attemptWrite(index, now))
+		overdue := !now.Before(since.Add(s.takeoverDelay))
+		assignedToSelf := view.Complete && assigned[index] == s.self.Incarnation
+		if vacant && (assignedToSelf || overdue) || s.orphaned(index) {
+			writes = append(writes, s.acquireWrite(index, now))
 		}
 	}
 	return limitWrites(writes)
 }
 
-// orphaned reports whether the row names this VM though it does not hold the
-// slot: a write of which nothing is known any more took effect.
+// orphaned reports whether the row names this incarnation although it does not hold the
+// slot. This happens if a write took effect that is no longer in attempts.
 func (s *state) orphaned(index int) bool {
 	_, held := s.held[index]
-	return s.mine(s.rows[index].row) && !held && !s.giving[index]
+	return s.isOwn(s.rows[index].row) && !held && !s.releasing[index]
 }
 
-// attemptWrite makes the write by which this VM takes or renews a slot.
-func (s *state) attemptWrite(index int, now clock.Time) storage.Write {
-	w := s.write(index, false)
+// acquireWrite returns a write that acquires or renews a slot, and records it in attempts.
+func (s *state) acquireWrite(index int, now clock.Time) storage.Write {
+	w := s.newWrite(index, false)
 	s.attempts[index] = append(s.attempts[index], attempt{
 		counter: s.counter, sent: now, created: w.IfRevision == 0, idle: s.rows[index].row.Released && s.rows[index].row.Idle,
 	})
 	return w
 }
 
-func (s *state) write(index int, released bool) storage.Write {
+func (s *state) newWrite(index int, released bool) storage.Write {
 	s.counter++
 	row := Row{
 		VM: s.self.ID, Incarnation: s.self.Incarnation, Counter: s.counter,
@@ -291,31 +295,31 @@
 	row.Idle = released && s.retire != nil && s.retire(index)
 	value, err := json.Marshal(row)
 	if err != nil {
-		panic(fmt.Sprintf("lease: row does not encode: %v", err))
+		panic(fmt.Sprintf("lease: cannot encode a row: %v", err))
 	}
-	return storage.Write{Key: key(index), IfRevision: s.rows[index].revision, Value: value}
+	return storage.Write{Key: slotKey(index), IfRevision: s.rows[index].revision, Value: value}
 }
 
 func limitWrites(w []storage.Write) []storage.Write {
 	return w[:min(len(w), storage.MaxTransactWrites)]
 }
 
-// stop gives up every slot and takes none from now on.
+// stop starts the release of all slots. No slot is acquired from then on.
 func (s *state) stop() {
 	s.stopping = true
-	s.giveAll()
+	s.releaseAll()
 }
 
-func (s *state) giveAll() {
+func (s *state) releaseAll() {
 	for index, seen := range s.rows {
-		if s.mine(seen.row) {
-			s.giving[index] = true
+		if s.isOwn(seen.row) {
+			s.releasing[index] = true
 		}
 	}
 	clear(s.held)
 }
 
-// holding lists the slots in use, in order of index.
+// holding returns the held slots in order of index.
 func (s *state) holding() []Slot {
 	var slots []Slot
 	for index := range s.slots {
--- a/pkg/lease/state_test.go
+++ b/pkg/lease/state_test.go
@@ -16,7 +16,7 @@
 	testPoll     = time.Second
 )
 
-// vm drives one state machine against the table, with a clock of its own.
+// vm runs one state machine against the table, with its own clock.
 type vm struct {
 	*state
 	clock *clock.Fake
@@ -24,7 +24,7 @@
 	view  *member.View
 }
 
-// cluster is a number of VMs on one table.
+// cluster is a set of VMs that share a table.
 type cluster struct {
 	t     *testing.T
 	table *memoryTable
@@ -44,9 +44,9 @@
 	v := &vm{
 		clock: clock.NewFake(clock.Time(len(c.vms)) * 1e12),
 		peer:  p,
-		state: newState(terms{
+		state: newState(params{
 			self: p, slots: slots, regions: regions,
-			duration: testDuration, margin: testMargin, patience: patiencePolls * testPoll,
+			duration: testDuration, margin: testMargin, takeoverDelay: takeoverDelayPolls * testPoll,
 		}),
 	}
 	c.vms = append(c.vms, v)
@@ -54,7 +54,7 @@
 	return v
 }
 
-// setViews shows every VM all the others as live.
+// setViews gives every VM a view in which all others are live.
 func (c *cluster) setViews() {
 	for _, v := range c.vms {
 		v.view = &member.View{Self: v.peer, Complete: true}
@@ -66,7 +66,7 @@
 	}
 }
 
-// setState changes what all VMs think of one peer.
+// setState sets the state of one peer in the views of all VMs.
 func (c *cluster) setState(id string, state member.State) {
 	for _, v := range c.vms {
 		for i := range v.view.Peers {
@@ -78,8 +78,8 @@
 	}
 }
 
-// round is one poll of a VM.
-func (v *vm) round(table *memoryTable) {
+// poll runs one poll of a VM.
+func (v *vm) poll(table *memoryTable) {
 	ctx := context.Background()
 	start := v.clock.Now()
 	items, err := table.List(ctx, partition, "", v.slots)
@@ -89,12 +89,12 @@
 	v.observe(items, v.clock.Now())
 	writes := v.plan(v.view, start, v.clock.Now())
 	if len(writes) > 0 {
-		v.written(writes, table.Transact(ctx, writes), v.clock.Now())
+		v.recordResult(writes, table.Transact(ctx, writes), v.clock.Now())
 	}
 }
 
-// run lets all VMs but the frozen ones poll n times, a second apart, and
-// checks after each step that no slot has two users.
+// run polls n times on all VMs except the frozen ones, at intervals of testPoll, and checks
+// after each poll that no slot has two users.
 func (c *cluster) run(n int, frozen ...*vm) {
 	c.t.Helper()
 	for range n {
@@ -103,7 +103,7 @@
 		}
 		for _, v := range c.vms {
 			if !isIn(v, frozen) {
-				v.round(c.table)
+				v.poll(c.table)
 				c.checkExclusive()
 			}
 		}
@@ -119,8 +119,8 @@
 	return false
 }
 
-// valid lists the slots that the VM may use by its own clock.
-func (v *vm) valid() []int {
+// validSlots returns the slots that the VM may use according to its own clock.
+func (v *vm) validSlots() []int {
 	var list []int
 	for _, s := range v.holding() {
 		if s.Valid(v.clock.Now()) {
@@ -134,7 +134,7 @@
 	c.t.Helper()
 	users := map[int]string{}
 	for _, v := range c.vms {
-		for _, index := range v.valid() {
+		for _, index := range v.validSlots() {
 			if other := users[index]; other != "" {
 				c.t.Fatalf("slot %d is used by %s and %s", index, other, v.peer.ID)
 			}
@@ -146,7 +146,7 @@
 func (c *cluster) counts() []int {
 	n := make([]int, len(c.vms))
 	for i, v := range c.vms {
-		n[i] = len(v.valid())
+		n[i] = len(v.validSlots())
 	}
 	return n
 }
@@ -164,19 +164,19 @@
 		c := newCluster(t, 16, n, "a", "b", "c")
 		c.run(20)
 		if c.total() != 16 {
-			t.Fatalf("%d VMs: %v holds %d of 16 slots", n, c.counts(), c.total())
+			t.Fatalf("%d VMs: slots by VM: %v, %d in total, want 16", n, c.counts(), c.total())
 		}
 		for i, got := range c.counts() {
 			if n > 1 && (got < 1 || got > 6) {
-				t.Errorf("%d VMs: VM %d holds %d slots", n, i, got)
+				t.Errorf("%d VMs: VM %d holds %d slots, want 1 to 6", n, i, got)
 			}
 		}
 	}
 }
 
-// TestFleetThatStartsSharesNewSlots: each VM knows the others from the platform's
-// list only, and takes no more than its part, so that none is handed over.
-func TestFleetThatStartsSharesNewSlots(t *testing.T) {
+// TestStartingFleetSharesNewSlots checks that a VM that knows the others only from the
+// platform's list acquires no more than its share, so that no slot is handed over later.
+func TestStartingFleetSharesNewSlots(t *testing.T) {
 	c := newCluster(t, 16, 4, "a")
 	for _, v := range c.vms {
 		for i := range v.view.Peers {
@@ -186,7 +186,7 @@
 	c.run(1)
 	for i, v := range c.vms {
 		if got := v.holding(); len(got) != 4 || !got[0].New {
-			t.Errorf("VM %d starts with %v", i, got)
+			t.Errorf("VM %d starts with %v, want 4 new slots", i, got)
 		}
 	}
 	c.setViews()
@@ -200,34 +200,34 @@
 	}
 }
 
-// TestListedVMThatNeverAnswers: its slots are left to it for a short time only.
+// TestListedVMThatNeverAnswers checks that the vacant slots assigned to a listed VM that
+// never answers are reserved for it only until the takeover delay has passed.
 func TestListedVMThatNeverAnswers(t *testing.T) {
 	c := newCluster(t, 4, 1, "a")
 	c.vms[0].view.Peers = []member.Peer{{ID: "vm-dead", State: member.Silent}}
 	c.run(1)
 	if got := c.total(); got != 2 {
-		t.Errorf("%d slots taken at once, want 2", got)
+		t.Errorf("%d slots acquired immediately, want 2", got)
 	}
-	c.run(patiencePolls)
+	c.run(takeoverDelayPolls)
 	if got := c.total(); got != 4 {
-		t.Errorf("%d slots held after the patience, want 4", got)
+		t.Errorf("%d slots held after the takeover delay, want 4", got)
 	}
 }
 
-func TestNewcomerIsHandedSlots(t *testing.T) {
+func TestNewVMGetsSlots(t *testing.T) {
 	c := newCluster(t, 16, 2, "a")
 	c.run(10)
 	c.add("vm-new", "a", 16, []string{"a"})
 	c.run(10)
 	if got := c.counts(); got[2] < 5 || c.total() != 16 {
-		t.Fatalf("slots by VM: %v", got)
+		t.Fatalf("slots by VM: %v, want 16 in total and at least 5 on the new VM", got)
 	}
 }
 
-// TestIdleSlotsAreHandedOverAsSuch checks that the next holder learns whether
-// requests could still run under a slot, and that a slot of a VM that died is
-// never taken for idle.
-func TestIdleSlotsAreHandedOverAsSuch(t *testing.T) {
+// TestIdleSlotsAreMarkedIdle checks that the next holder of a released slot learns whether
+// requests may still run under it, and that a slot of a VM that died never counts as idle.
+func TestIdleSlotsAreMarkedIdle(t *testing.T) {
 	c := newCluster(t, 4, 1, "a")
 	c.run(10)
 	leaving := c.vms[0]
@@ -237,17 +237,17 @@
 	leaving.stop()
 	c.run(10)
 	if len(next.holding()) != 4 {
-		t.Fatalf("holding %+v", next.holding())
+		t.Fatalf("next holder has %+v, want 4 slots", next.holding())
 	}
 	for _, s := range next.holding() {
 		if s.New || s.Idle != (s.Index%2 == 0) {
-			t.Errorf("slot %d: new %v, idle %v", s.Index, s.New, s.Idle)
+			t.Errorf("slot %d: new %v, idle %v; want not new, and idle if its index is even", s.Index, s.New, s.Idle)
 		}
 	}
 	third := c.add("vm-third", "a", 4, []string{"a"})
 	c.setState(leaving.peer.ID, member.Leaving)
 	c.run(1, next)
-	c.setState(next.peer.ID, member.Gone) // proof that is newer than the rows
+	c.setState(next.peer.ID, member.Gone) // proof of death that is newer than the rows
 	c.vms = []*vm{leaving, third}
 	c.run(10)
 	for _, s := range third.holding() {
@@ -256,32 +256,32 @@
 		}
 	}
 	if len(third.holding()) == 0 {
-		t.Error("the slots of the dead VM were not taken over")
+		t.Error("no slot of the dead VM was taken over")
 	}
 }
 
-func TestSilenceIsNoEvidence(t *testing.T) {
+func TestSilentHolderKeepsItsSlots(t *testing.T) {
 	c := newCluster(t, 4, 2, "a")
 	c.run(10)
 	frozen := c.vms[0]
 	c.setState(frozen.peer.ID, member.Silent)
-	before := len(frozen.valid())
+	before := len(frozen.validSlots())
 	leaseSeconds := int((testDuration - testMargin) / time.Second)
 	c.run(leaseSeconds/2, frozen)
 	if got := c.total(); got != 4 || before != 2 {
 		t.Fatalf("%d slots valid, want 4; the frozen VM had %d", got, before)
 	}
 	c.run(leaseSeconds, frozen)
-	if got := len(frozen.valid()); got != 0 {
-		t.Errorf("the frozen VM still uses %d slots after its lease", got)
+	if got := len(frozen.validSlots()); got != 0 {
+		t.Errorf("the frozen VM may still use %d slots after its leases have ended", got)
 	}
-	if got := len(c.vms[1].valid()); got != 4 {
-		t.Errorf("the other VM holds %d slots after the lease, want 4", got)
+	if got := len(c.vms[1].validSlots()); got != 4 {
+		t.Errorf("the other VM holds %d slots after the leases have ended, want 4", got)
 	}
 	c.setState(frozen.peer.ID, member.Live)
 	c.run(20)
 	if got := c.counts(); got[0] != 2 || got[1] != 2 {
-		t.Errorf("slots by VM after the thaw: %v", got)
+		t.Errorf("slots by VM after the frozen VM resumed: %v, want 2 each", got)
 	}
 }
 
@@ -297,12 +297,12 @@
 	}
 	for _, s := range c.vms[0].holding() {
 		if s.New && s.Index%2 == 0 {
-			t.Errorf("slot %d passes for one without a former holder", s.Index)
+			t.Errorf("slot %d is marked new although it had a holder", s.Index)
 		}
 	}
 }
 
-// restart replaces a VM by a new incarnation of itself and shows it to all.
+// restart replaces a VM by a new incarnation and updates the views of all VMs.
 func (c *cluster) restart(i int) *vm {
 	old := c.vms[i]
 	c.vms = append(c.vms[:i], c.vms[i+1:]...)
@@ -318,15 +318,15 @@
 	c := newCluster(t, 4, 2, "a")
 	c.run(10)
 	c.restart(0)
-	c.run(patiencePolls + 3)
+	c.run(takeoverDelayPolls + 3)
 	if got := c.total(); got != 4 {
 		t.Fatalf("%d slots held after the restart, want 4", got)
 	}
 }
 
-// TestOldProofOfDeathIsNoProof: proof gathered before the row was seen says
-// nothing, since the incarnation in the row may have started after it.
-func TestOldProofOfDeathIsNoProof(t *testing.T) {
+// TestOldProofOfDeathIsIgnored checks that a proof of death that is older than the first
+// read of the row frees no slot: the incarnation in the row may have started after it.
+func TestOldProofOfDeathIsIgnored(t *testing.T) {
 	c := newCluster(t, 4, 2, "a")
 	c.run(10)
 	holder, observer := c.vms[0], c.vms[1]
@@ -336,31 +336,31 @@
 	}
 	c.run(20, holder)
 	if got := len(observer.holding()); got != 2 {
-		t.Fatalf("the observer holds %d slots by an old proof, want its own 2", got)
+		t.Fatalf("the observer holds %d slots after an old proof of death, want its own 2", got)
 	}
 }
 
-func TestOutageOfTheTableChangesNothing(t *testing.T) {
+func TestTableOutageKeepsSlots(t *testing.T) {
 	c := newCluster(t, 16, 3, "a", "b", "c")
 	c.run(20)
 	c.table.set(func(m *memoryTable) { m.down = true })
 	c.run(9 * 60)
 	if got := c.total(); got != 16 {
-		t.Fatalf("%d slots valid after 9 min of outage, want 16", got)
+		t.Fatalf("%d slots valid after a table outage of 9 min, want 16", got)
 	}
 	c.table.set(func(m *memoryTable) { m.down = false })
 	c.run(20)
 	if got := c.total(); got != 16 {
-		t.Fatalf("%d slots valid after the outage, want 16", got)
+		t.Fatalf("%d slots valid after the table outage, want 16", got)
 	}
 }
 
-func TestLostAnswersAreReadBack(t *testing.T) {
+func TestLostWriteResponsesAreReadBack(t *testing.T) {
 	c := newCluster(t, 16, 3, "a", "b", "c")
-	c.table.set(func(m *memoryTable) { m.loseAnswers = true })
+	c.table.set(func(m *memoryTable) { m.loseResponses = true })
 	c.run(30)
 	if got := c.total(); got != 16 {
-		t.Fatalf("%d slots held though every answer is lost, want 16", got)
+		t.Fatalf("%d slots held although every write response is lost, want 16", got)
 	}
 }
 
@@ -370,6 +370,6 @@
 	c.table.set(func(m *memoryTable) { m.transacts = 0 })
 	c.run(int(testDuration / testPoll))
 	if got := c.table.transacts; got < 2 || got > 3 {
-		t.Fatalf("%d transactions in one lease, want a renewal each third", got)
+		t.Fatalf("%d transactions in the duration of one lease, want 2 or 3: one renewal per third of it", got)
 	}
 }
--- a/pkg/lease/table_test.go
+++ b/pkg/lease/table_test.go
@@ -8,15 +8,15 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// memoryTable is a storage.Table with faults on demand.
+// memoryTable is an in-memory storage.Table with fault injection.
 type memoryTable struct {
 	mu    sync.Mutex
 	items map[storage.Key]storage.Item
 	// down makes every call fail without effect.
 	down bool
-	// loseAnswers makes writes take effect and then fail.
-	loseAnswers bool
-	transacts   int
+	// loseResponses makes writes take effect and then return storage.ErrIndeterminate.
+	loseResponses bool
+	transacts     int
 }
 
 func newMemoryTable() *memoryTable {
@@ -81,7 +81,7 @@
 	for _, w := range writes {
 		t.items[w.Key] = storage.Item{Key: w.Key, Revision: w.IfRevision + 1, Value: w.Value}
 	}
-	if t.loseAnswers {
+	if t.loseResponses {
 		return storage.ErrIndeterminate
 	}
 	return nil
--- a/pkg/lease/world_test.go
+++ b/pkg/lease/world_test.go
@@ -13,45 +13,45 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// mutation takes one mechanism away, to show that the property needs it.
+// mutation disables one mechanism, to show that the property depends on it.
 type mutation uint8
 
 const (
 	intact mutation = iota
-	// silenceIsEvidence takes over from VMs that do not answer.
-	silenceIsEvidence
-	// countFromReadStart dates a row from before the read that showed it.
-	countFromReadStart
-	// countFromAnswer lets a lease run from the answer to the write.
-	countFromAnswer
-	// trustLostAnswer takes a write of unknown outcome for a success.
-	trustLostAnswer
-	// noMargin leaves clocks no room to drift.
+	// silentIsGone treats silent VMs as dead and takes their slots over.
+	silentIsGone
+	// dateRowFromReadStart dates a row from the start of the read instead of its end.
+	dateRowFromReadStart
+	// startLeaseAtResponse starts a lease when the response to the write arrives.
+	startLeaseAtResponse
+	// unknownIsSuccess treats a write of unknown outcome as successful.
+	unknownIsSuccess
+	// noMargin removes the margin for clock drift.
 	noMargin
-	// useWhileGiving goes on using a slot until its release is confirmed.
-	useWhileGiving
+	// useWhileReleasing keeps using a slot until its release is confirmed.
+	useWhileReleasing
 )
 
 const (
 	worldSlots    = 3
 	worldSteps    = 400
 	worldDuration = 15 * time.Second
-	// maxDrift is the deviation of a clock that the margin covers.
+	// maxDrift is the largest relative speed error of a simulated clock; the margin covers it.
 	maxDrift = 0.019
 )
 
-// stage is how far a round of a VM has come.
+// stage is the progress of a VM's round.
 type stage uint8
 
 const (
 	idle     stage = iota
 	reading        // the read has been sent
-	readDone       // the table has answered it
+	readDone       // the response to the read has arrived
 	writing        // the write has been sent
 )
 
-// worldVM is one incarnation of a VM. Its round advances by one stage at a
-// time; true time passes between them.
+// worldVM is one incarnation of a VM. Its round advances by one stage at a time; real time
+// may pass between two stages.
 type worldVM struct {
 	*state
 	peer   member.Peer
@@ -65,7 +65,7 @@
 	writes []storage.Write
 }
 
-// delayedWrite is a write that the table may still apply.
+// delayedWrite is a write that the table may apply later.
 type delayedWrite struct {
 	vm     *worldVM
 	writes []storage.Write
@@ -73,27 +73,27 @@
 
 type leaseWorld struct {
 	*rapid.T
-	mutation mutation
-	now      time.Duration
-	table    *memoryTable
-	vms      []*worldVM
-	delayed  []delayedWrite
-	dead     []member.Peer
-	born     int
-	broken   string
+	mutation  mutation
+	now       time.Duration
+	table     *memoryTable
+	vms       []*worldVM
+	delayed   []delayedWrite
+	dead      []member.Peer
+	started   int
+	violation string
 }
 
 func newLeaseWorld(t *rapid.T, m mutation) *leaseWorld {
 	w := &leaseWorld{T: t, mutation: m, table: newMemoryTable()}
 	for range rapid.IntRange(2, 3).Draw(t, "VMs") {
-		w.vms = append(w.vms, w.boot())
+		w.vms = append(w.vms, w.startVM())
 	}
 	return w
 }
 
-func (w *leaseWorld) boot() *worldVM {
-	w.born++
-	id := fmt.Sprint("vm-", w.born)
+func (w *leaseWorld) startVM() *worldVM {
+	w.started++
+	id := fmt.Sprint("vm-", w.started)
 	margin := worldDuration / marginDivisor
 	if w.mutation == noMargin {
 		margin = 0
@@ -101,11 +101,11 @@
 	p := member.Peer{ID: id, Incarnation: id + "/1", Region: "a"}
 	return &worldVM{
 		peer:   p,
-		offset: clock.Time(w.born) * clock.Time(time.Hour),
+		offset: clock.Time(w.started) * clock.Time(time.Hour),
 		speed:  1 + maxDrift*rapid.SampledFrom([]float64{-1, 0, 1}).Draw(w.T, "speed"),
-		state: newState(terms{
+		state: newState(params{
 			self: p, slots: worldSlots, regions: []string{"a"},
-			duration: worldDuration, margin: margin, patience: 3 * time.Second,
+			duration: worldDuration, margin: margin, takeoverDelay: 3 * time.Second,
 		}),
 	}
 }
@@ -114,9 +114,9 @@
 	return v.offset + clock.Time(float64(w.now)*v.speed)
 }
 
-// look gives v a view in which any peer may pass for silent, and the dead for
+// updateView gives v a view in which any peer may be silent and a dead one live, silent or
 // gone.
-func (w *leaseWorld) look(v *worldVM) {
+func (w *leaseWorld) updateView(v *worldVM) {
 	v.view = &member.View{Self: v.peer, Complete: true}
 	for _, o := range w.vms {
 		if o == v {
@@ -126,7 +126,7 @@
 		p.StateProbedAt = w.clock(v) + 1
 		if rapid.IntRange(0, 3).Draw(w.T, "silent") == 0 {
 			p.State = member.Silent
-			if w.mutation == silenceIsEvidence {
+			if w.mutation == silentIsGone {
 				p.State = member.Gone
 			}
 		}
@@ -141,8 +141,8 @@
 
 func (w *leaseWorld) pick() *worldVM { return rapid.SampledFrom(w.vms).Draw(w.T, "vm") }
 
-// step moves one VM's round on by one stage. A VM that is not picked for long
-// is paused.
+// step advances the round of a random VM by one stage. A VM that is not picked for a long
+// time behaves like a paused one.
 func (w *leaseWorld) step() {
 	v := w.pick()
 	switch v.stage {
@@ -154,20 +154,20 @@
 	case readDone:
 		w.decide(v)
 	case writing:
-		w.settle(v)
+		w.finishWrite(v)
 	}
 }
 
 func (w *leaseWorld) decide(v *worldVM) {
-	w.look(v)
+	w.updateView(v)
 	end := w.clock(v)
-	if w.mutation == countFromReadStart {
+	if w.mutation == dateRowFromReadStart {
 		end = v.start
 	}
 	v.observe(v.items, end)
 	before := copyHeld(v.held)
 	v.writes = v.plan(v.view, v.start, w.clock(v))
-	if w.mutation == useWhileGiving {
+	if w.mutation == useWhileReleasing {
 		v.held = before
 	}
 	v.stage = idle
@@ -184,15 +184,15 @@
 	return c
 }
 
-// settle ends a write: it takes effect or not, now or later, and its answer
-// arrives or not.
-func (w *leaseWorld) settle(v *worldVM) {
+// finishWrite ends a write: it takes effect now, later or not at all, and the response
+// arrives or is lost.
+func (w *leaseWorld) finishWrite(v *worldVM) {
 	v.stage = idle
 	var err error
-	switch rapid.SampledFrom([]string{"done", "done", "answer lost", "late", "refused"}).Draw(w.T, "write") {
+	switch rapid.SampledFrom([]string{"done", "done", "response lost", "late", "refused"}).Draw(w.T, "write") {
 	case "done":
 		err = w.table.apply(v.writes)
-	case "answer lost":
+	case "response lost":
 		_ = w.table.apply(v.writes)
 		err = storage.ErrIndeterminate
 	case "late":
@@ -201,11 +201,11 @@
 	case "refused":
 		err = storage.ErrUnavailable
 	}
-	if w.mutation == trustLostAnswer && errors.Is(err, storage.ErrIndeterminate) {
+	if w.mutation == unknownIsSuccess && errors.Is(err, storage.ErrIndeterminate) {
 		err = nil
 	}
-	v.written(v.writes, err, w.clock(v))
-	if w.mutation == countFromAnswer && err == nil {
+	v.recordResult(v.writes, err, w.clock(v))
+	if w.mutation == startLeaseAtResponse && err == nil {
 		for k, h := range v.held {
 			h.until = w.clock(v).Add(v.duration - v.margin)
 			v.held[k] = h
@@ -213,7 +213,7 @@
 	}
 }
 
-// applyLate lets a write of unknown outcome take effect after all.
+// applyLate applies one of the delayed writes.
 func (w *leaseWorld) applyLate() {
 	if len(w.delayed) > 0 {
 		i := rapid.IntRange(0, len(w.delayed)-1).Draw(w.T, "late write")
@@ -227,14 +227,14 @@
 	w.now += time.Duration(ms) * time.Millisecond
 }
 
-// replace kills a VM and boots another.
+// replace kills a VM and starts another one.
 func (w *leaseWorld) replace() {
 	i := rapid.IntRange(0, len(w.vms)-1).Draw(w.T, "killed")
 	w.dead = append(w.dead, w.vms[i].peer)
-	w.vms[i] = w.boot()
+	w.vms[i] = w.startVM()
 }
 
-// check looks for a slot that two VMs may use at the same true time.
+// check sets violation if two VMs may use a slot at the same real time.
 func (w *leaseWorld) check() {
 	users := map[int]*worldVM{}
 	for _, v := range w.vms {
@@ -243,61 +243,61 @@
 			if !s.Valid(now) {
 				continue
 			}
-			if o := users[s.Index]; o != nil && w.broken == "" {
-				w.broken = fmt.Sprintf("at %v: slot %d is used by %s and %s", w.now, s.Index, o.peer.ID, v.peer.ID)
+			if o := users[s.Index]; o != nil && w.violation == "" {
+				w.violation = fmt.Sprintf("at %v: slot %d is used by %s and %s", w.now, s.Index, o.peer.ID, v.peer.ID)
 			}
 			users[s.Index] = v
 		}
 	}
 }
 
-// run takes random steps until the property breaks.
+// run takes random steps until the property is violated.
 func (w *leaseWorld) run() {
 	steps := []func(){w.step, w.step, w.step, w.step, w.step, w.step, w.step, w.step, w.advance, w.applyLate, w.replace}
 	kinds := rapid.IntRange(len(steps)-1, len(steps)).Draw(w.T, "kinds")
 	for range worldSteps {
 		steps[rapid.IntRange(0, kinds-1).Draw(w.T, "step")]()
-		if w.check(); w.broken != "" {
+		if w.check(); w.violation != "" {
 			return
 		}
 	}
 }
 
-// TestSlotHasOneUser checks that no two VMs may use a slot at the same time,
-// through pauses at any point, drifting clocks, writes whose answer is lost or
-// which take effect late, deaths and VMs that pass for silent.
+// TestSlotHasOneUser checks that no two VMs may use a slot at the same time, despite pauses
+// at any point, clock drift, writes whose response is lost or that take effect late, deaths
+// and VMs that appear to be silent.
 func TestSlotHasOneUser(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newLeaseWorld(t, intact)
 		w.run()
-		if w.broken != "" {
-			t.Fatal(w.broken)
+		if w.violation != "" {
+			t.Fatal(w.violation)
 		}
 	})
 }
 
-// TestSlotNeedsEachMechanism shows that TestSlotHasOneUser would fail without
-// any one of these mechanisms.
+// TestSlotNeedsEachMechanism checks that the property of TestSlotHasOneUser can be violated
+// if any one mechanism is disabled.
 func TestSlotNeedsEachMechanism(t *testing.T) {
 	names := map[mutation]string{
-		silenceIsEvidence: "silence is evidence", countFromReadStart: "row dated from the start of the read",
-		countFromAnswer: "lease from the answer", trustLostAnswer: "unknown outcome taken for success",
-		noMargin: "no margin for drift", useWhileGiving: "slot in use while it is given up",
+		silentIsGone: "silent VMs treated as dead", dateRowFromReadStart: "row dated from the start of the read",
+		startLeaseAtResponse: "lease started at the response", unknownIsSuccess: "unknown outcome treated as success",
+		noMargin: "no margin for drift", useWhileReleasing: "slot used while it is released",
 	}
 	for m, name := range names {
 		t.Run(name, func(t *testing.T) {
 			for seed := range 5000 {
-				broken := rapid.Custom(func(t *rapid.T) string {
+				violation := rapid.Custom(func(t *rapid.T) string {
 					w := newLeaseWorld(t, m)
 					w.run()
-					return w.broken
+					return w.violation
 				}).Example(seed)
-				if broken != "" {
-					t.Logf("seed %d: %s", seed, broken)
+				if violation != "" {
+					t.Logf("seed %d: %s", seed, violation)
 					return
 				}
 			}
-			t.Error("slots had one user without the mechanism")
+			t.Error("no seed violates the property without the mechanism")
 		})
 	}
 }
