--- a/pkg/claim/batch.go
+++ b/pkg/claim/batch.go
@@ -11,38 +11,37 @@
 )
 
 const (
-	// maxInFlight is how many transactions of a batcher run at once.
+	// maxInFlight is the largest number of concurrent transactions of a batcher.
 	maxInFlight = 4
-	// maxCollisions is how often a write is submitted again after its
-	// transaction collided with another one.
+	// maxCollisions is how many times a write is retried after its transaction collided with a
+	// concurrent one.
 	maxCollisions   = 8
 	collisionDelay  = 5 * time.Millisecond
 	transactTimeout = 3 * time.Second
 )
 
-// batcher combines concurrent writes into transactions (group commit): while
-// some are under way, the others gather.
+// batcher combines concurrent writes into transactions (group commit): while maxInFlight
+// transactions are in flight, further writes are queued for the next one.
 type batcher struct {
 	table storage.Table
 
 	mu       sync.Mutex
-	queue    []*pending
+	queue    []*pendingWrite
 	inFlight int
 }
 
-// pending is a write that waits for its result.
-type pending struct {
+// pending is a queued write and the channel that receives its result.
+type pendingWrite struct {
 	ctx        context.Context
 	write      storage.Write
 	collisions int
 	result     chan error
 }
 
-// write submits w and waits for its result: nil, errConflict, or the table's
-// ErrUnavailable or ErrIndeterminate. Where ctx ends first the result is
-// ErrIndeterminate.
+// write submits w and waits for its result: nil, errConflict, or the table's ErrUnavailable or
+// ErrIndeterminate. If ctx ends first, the result is ErrIndeterminate.
 func (b *batcher) write(ctx context.Context, w storage.Write) error {
-	p := &pending{ctx: ctx, write: w, result: make(chan error, 1)}
+	p := &pendingWrite{ctx: ctx, write: w, result: make(chan error, 1)}
 	b.mu.Lock()
 	b.queue = append(b.queue, p)
 	b.startLocked()
@@ -55,12 +54,12 @@
 	}
 }
 
-// startLocked starts a transaction for queued writes, if one more may run.
+// startLocked starts a transaction for queued writes unless maxInFlight are in flight.
 func (b *batcher) startLocked() {
 	if len(b.queue) == 0 || b.inFlight >= maxInFlight {
 		return
 	}
-	batch, rest := split(b.queue)
+	batch, rest := nextBatch(b.queue)
 	b.queue = rest
 	if len(batch) == 0 {
 		return
@@ -69,10 +68,11 @@
 	go b.run(batch)
 }
 
-// split takes the writes of the next transaction, which may not hold two
-// writes of one item. Writes that nobody waits for any more are dropped.
-func split(queue []*pending) (batch, rest []*pending) {
-	taken := make(map[storage.Key]bool)
+// nextBatch splits the queue into the writes of the next transaction and the rest. A transaction
+// must not contain two writes of one item. Writes whose context has ended are dropped, because
+// nothing waits for their results.
+func nextBatch(queue []*pendingWrite) (batch, rest []*pendingWrite) {
+	keys := make(map[storage.Key]bool)
 	for i, p := range queue {
 		if len(batch) == storage.MaxTransactWrites {
 			return batch, append(rest, queue[i:]...)
@@ -80,28 +80,27 @@
 		if p.ctx.Err() != nil {
 			continue
 		}
-		if taken[p.write.Key] {
+		if keys[p.write.Key] {
 			rest = append(rest, p)
 			continue
 		}
-		taken[p.write.Key] = true
+		keys[p.write.Key] = true
 		batch = append(batch, p)
 	}
 	return batch, rest
 }
 
-func (b *batcher) run(batch []*pending) {
-	again := b.transact(batch)
+func (b *batcher) run(batch []*pendingWrite) {
+	retries := b.transact(batch)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.inFlight--
-	b.queue = append(again, b.queue...)
+	b.queue = append(retries, b.queue...)
 	b.startLocked()
 }
 
-// transact runs one transaction, reports the results that are final and
-// returns the writes that have to be submitted again.
-func (b *batcher) transact(batch []*pending) (again []*pending) {
+// transact runs one transaction, reports the final results and returns the writes to retry.
+func (b *batcher) transact(batch []*pendingWrite) (retries []*pendingWrite) {
 	ctx, cancel := context.WithTimeout(context.Background(), transactTimeout)
 	defer cancel()
 	writes := make([]storage.Write, len(batch))
@@ -111,7 +110,7 @@
 	err := b.table.Transact(ctx, writes)
 	var conflict *storage.ConflictError
 	if errors.As(err, &conflict) {
-		return collide(batch, conflict.Failed)
+		return handleConflict(batch, conflict.Failed)
 	}
 	if err != nil && !errors.Is(err, storage.ErrUnavailable) {
 		err = storage.ErrIndeterminate
@@ -122,9 +121,10 @@
 	return nil
 }
 
-// collide reports the failed conditions and keeps the other writes. Where
-// none is named, the transaction met another one and all are tried again.
-func collide(batch []*pending, failed []int) (again []*pending) {
+// handleConflict reports errConflict for the writes whose condition failed and returns the others
+// for a retry. If failed is empty, the transaction collided with a concurrent one, and all its
+// writes are retried.
+func handleConflict(batch []*pendingWrite, failed []int) (retries []*pendingWrite) {
 	conflicted := make(map[int]bool, len(failed))
 	for _, i := range failed {
 		conflicted[i] = true
@@ -141,10 +141,10 @@
 			p.result <- storage.ErrUnavailable
 			continue
 		}
-		again = append(again, p)
+		retries = append(retries, p)
 	}
 	if len(failed) == 0 {
 		time.Sleep(rand.N(collisionDelay))
 	}
-	return again
+	return retries
 }
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -1,21 +1,19 @@
-// Package claim keeps at-most-once requests from running twice.
+// Package claim ensures that at-most-once requests do not run twice.
 //
-// A request is identified by its client account, its route and the
-// idempotency key that its caller chose. There are two kinds of keys, and the
-// key itself tells which, so that all sendings of a request meet the same
-// memory wherever and whenever they arrive:
+// A request is identified by its client account, its route and the idempotency key that its caller
+// chose. There are two kinds of keys. The key itself shows its kind, so that all retries of a
+// request are checked against the same record, whenever they arrive and at whichever VM:
 //
-//   - A plain key is claimed in the platform's table by a conditional write
-//     before the request is dispatched (Store). Its memory is durable. While
-//     the table is down, no request with a plain key runs.
-//   - A ticketed key begins with a ticket that one incarnation of one VM
-//     issued. The request runs only there, and that process remembers it
-//     (Session). It needs no table. When the process has ended, every further
-//     sending is answered "unknown".
+//   - A plain key is claimed in the platform's table by a conditional write before the request is
+//     dispatched (Store). The record is durable. While the table is unavailable, no request with a
+//     plain key runs.
+//   - A ticketed key begins with a ticket that one incarnation of one VM issued. The request runs
+//     only there, and that process keeps the record in memory (Session), without the table. After
+//     the process has ended, the response to every retry is "unknown".
 //
-// Were a ticket beside the key in place of within it, a request that ran under
-// a ticket could be sent again without one, and the table, which has not heard
-// of it, would let it run a second time.
+// The ticket is a part of the key, not a separate field. Otherwise a request that ran with a ticket
+// could be retried without it, and the table, which has no record of the request, would let it run
+// a second time.
 package claim
 
 import (
@@ -32,25 +30,25 @@
 	Key     string
 }
 
-// State is how far a claimed request has come.
+// State is the progress of a claimed request.
 type State string
 
 // The states of a claim.
 const (
-	// Running requests were or will be dispatched. The claim of a process that
-	// ended stays Running: the request may have run.
+	// Running requests were or will be dispatched. If the process that claimed a request ends
+	// first, the claim stays Running: the request may have run.
 	Running State = "running"
-	// Done requests ran, and Record holds their answer if it is small.
+	// Done requests ran. Their Record holds the response if it is small.
 	Done State = "done"
-	// Ended requests were sent to a target whose answer never arrived whole.
+	// Ended requests were sent to a target, but no complete response arrived.
 	Ended State = "ended"
-	// Released requests surely did not run. They may be claimed again.
+	// Released requests did not run and never will. They may be claimed again.
 	Released State = "released"
 )
 
-// Record is the memory of one request.
+// Record is the stored state of one request.
 type Record struct {
-	// Token is unique to one claim. A claimer whose write's answer was lost
+	// Token is unique to one claim. If the response to a claimer's write was lost, the claimer
 	// finds its token in the table if the write took effect.
 	Token       string `json:"token"`
 	VM          string `json:"vm"`
@@ -59,27 +57,27 @@
 	Answer      Answer `json:"answer,omitzero"`
 }
 
-// Answer is a target's answer as far as it is kept.
+// Answer is the stored part of a target's response.
 type Answer struct {
 	Status int `json:"status,omitempty"`
-	// Kept reports that Header and Body are the whole answer.
+	// Kept reports that Header and Body are the complete response. Otherwise only Status is known.
 	Kept   bool        `json:"kept,omitempty"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
 }
 
 var (
-	// ErrUnavailable reports that the table could not be asked. The request
-	// was not claimed and must not run.
+	// ErrUnavailable reports that the table could not be read or written. The request was not
+	// claimed and must not run.
 	ErrUnavailable = errors.New("claims unavailable")
-	// errConflict reports that a write's condition failed.
+	// errConflict reports that the condition of a write failed.
 	errConflict = errors.New("condition failed")
 )
 
 func (r *Record) encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // strings, integers and bytes always have a JSON form
+		panic(err) // strings, integers and bytes can always be encoded as JSON
 	}
 	return b
 }
--- a/pkg/claim/session.go
+++ b/pkg/claim/session.go
@@ -9,157 +9,165 @@
 	"crocusramp.dev/crocusramp/pkg/clock"
 )
 
-// The defaults of SessionConfig.
+// Defaults of SessionConfig.
 const (
-	defaultMaxUsed    = 200_000
-	defaultMaxAnswers = 1024
+	defaultMaxRequests  = 200_000
+	defaultMaxResponses = 1024
 )
 
-// SessionConfig holds what a Session works with.
+// SessionConfig configures a Session.
 type SessionConfig struct {
 	VM          string
 	Incarnation string
 	Clock       clock.Clock
-	// MaxUsed is how many requests are remembered, about 150 bytes each; when
-	// it is reached no further one runs until some expire. Default 200000.
-	MaxUsed int
-	// MaxAnswers is how many answers are kept to be given again; of the others
-	// only the status is known. Default 1024.
-	MaxAnswers int
+	// MaxRequests is the largest number of requests in memory, at about 150 bytes each. At this
+	// number no new request runs until some have expired. The default is 200000.
+	MaxRequests int
+	// MaxResponses is the largest number of responses that are kept to be replayed. Of the others
+	// only the status is known. The default is 1024.
+	MaxResponses int
 }
 
-// Session remembers the requests with ticketed keys that this process ran. It
-// is safe for concurrent use.
+// Session records, in memory, the requests with ticketed keys that this process ran. It is safe for
+// concurrent use.
 type Session struct {
 	config SessionConfig
 	issuer *issuer
 
 	mu sync.Mutex
-	// used never forgets a request whose ticket has not expired.
-	used map[[sha256.Size]byte]*entry
-	// expiry holds the used requests roughly in order of their tickets' end.
-	expiry  []expiring
-	answers *lru.Cache[[sha256.Size]byte, Answer]
+	// requests holds every request that was begun and whose ticket has not expired, unless it was
+	// released.
+	requests map[[sha256.Size]byte]*request
+	// expiry lists the requests roughly in the order in which their tickets expire.
+	expiry    []expiringRequest
+	responses *lru.Cache[[sha256.Size]byte, Answer]
 }
 
-type entry struct {
+// request is the in-memory state of one request.
+type request struct {
 	state  State
 	status int
 }
 
-type expiring struct {
-	id [sha256.Size]byte
-	at clock.Time
+// expiringRequest is a request and the time at which its ticket expires.
+type expiringRequest struct {
+	id      [sha256.Size]byte
+	expires clock.Time
 }
 
 // NewSession returns a Session with a new secret.
 func NewSession(c SessionConfig) *Session {
-	if c.MaxUsed == 0 {
-		c.MaxUsed = defaultMaxUsed
+	if c.MaxRequests == 0 {
+		c.MaxRequests = defaultMaxRequests
 	}
-	if c.MaxAnswers == 0 {
-		c.MaxAnswers = defaultMaxAnswers
+	if c.MaxResponses == 0 {
+		c.MaxResponses = defaultMaxResponses
 	}
-	answers, err := lru.New[[sha256.Size]byte, Answer](c.MaxAnswers)
+	responses, err := lru.New[[sha256.Size]byte, Answer](c.MaxResponses)
 	if err != nil {
 		panic(err) // only a size below 1 fails
 	}
 	return &Session{
-		config:  c,
-		issuer:  newIssuer(c.VM, c.Incarnation),
-		used:    map[[sha256.Size]byte]*entry{},
-		answers: answers,
+		config:    c,
+		issuer:    newIssuer(c.VM, c.Incarnation),
+		requests:  map[[sha256.Size]byte]*request{},
+		responses: responses,
 	}
 }
 
-// Issue returns a ticket for the account's requests.
+// Issue returns a new ticket for requests of the account.
 func (s *Session) Issue(account string) string {
 	return s.issuer.issue(account, s.config.Clock.Now().Add(TicketTTL))
 }
 
-// Verdict says what may be done with a ticketed request.
-type Verdict uint8
+// Decision is the result of Begin: it says whether a ticketed request may run.
+type Decision uint8
 
 const (
-	// Run means that the request was not seen before and is remembered now.
-	Run Verdict = iota
-	// Seen means that it was; the record tells how far it came.
+	// Run means that the request is new and is now recorded. The caller runs it.
+	Run Decision = iota
+	// Seen means that the request was recorded before; the Record holds its state.
 	Seen
-	// Forged means that this process did not issue the ticket to the account.
-	// No request runs under it.
+	// Forged means that this process did not issue the ticket to the account. The request must not
+	// run.
 	Forged
-	// Expired means that the request may have run and been forgotten.
+	// Expired means that the ticket has expired. The request may have run, and its record may have
+	// been removed.
 	Expired
-	// Full means that no further request can be remembered now.
+	// Full means that there is no room to record another request now.
 	Full
 )
 
-// Begin decides whether the request runs.
-func (s *Session) Begin(id ID, t *Ticket) (Verdict, *Record) {
-	if !s.issuer.genuine(t, id.Account) {
+// Begin decides whether the request may run, and records it if so. The Record is set only
+// if the request was recorded before.
+func (s *Session) Begin(id ID, t *Ticket) (Decision, *Record) {
+	if !s.issuer.verify(t, id.Account) {
 		return Forged, nil
 	}
 	now := s.config.Clock.Now()
 	h := hashID(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgetLocked(now)
-	if e, ok := s.used[h]; ok {
-		return Seen, s.recordLocked(h, e)
+	s.removeExpiredLocked(now)
+	if recorded, ok := s.requests[h]; ok {
+		return Seen, s.recordLocked(h, recorded)
 	}
 	if !now.Before(t.Expires) {
 		return Expired, nil
 	}
-	if len(s.used) >= s.config.MaxUsed {
+	if len(s.requests) >= s.config.MaxRequests {
 		return Full, nil
 	}
-	s.used[h] = &entry{state: Running}
-	s.expiry = append(s.expiry, expiring{h, t.Expires})
+	s.requests[h] = &request{state: Running}
+	s.expiry = append(s.expiry, expiringRequest{h, t.Expires})
 	return Run, nil
 }
 
-// Known reports whether the request was begun and not released.
+// Known reports whether the request is recorded: it was begun and neither released nor removed
+// after its ticket expired.
 func (s *Session) Known(id ID) bool {
 	h := hashID(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.used[h]
+	_, ok := s.requests[h]
 	return ok
 }
 
-// forgetLocked drops requests whose tickets have expired. Later ones that were
-// issued earlier wait behind those before them, which does no harm.
-func (s *Session) forgetLocked(now clock.Time) {
-	for len(s.expiry) > 0 && !now.Before(s.expiry[0].at) {
-		delete(s.used, s.expiry[0].id)
+// removeExpiredLocked removes the requests whose tickets have expired. An expired request that is
+// listed behind one that has not expired is kept for longer, which is harmless.
+func (s *Session) removeExpiredLocked(now clock.Time) {
+	for len(s.expiry) > 0 && !now.Before(s.expiry[0].expires) {
+		delete(s.requests, s.expiry[0].id)
 		s.expiry = s.expiry[1:]
 	}
 }
 
-func (s *Session) recordLocked(h [sha256.Size]byte, e *entry) *Record {
+// recordLocked returns the Record of a request, with the response if it is still kept.
+func (s *Session) recordLocked(h [sha256.Size]byte, e *request) *Record {
 	r := &Record{VM: s.config.VM, Incarnation: s.config.Incarnation, State: e.state, Answer: Answer{Status: e.status}}
-	if a, ok := s.answers.Get(h); ok {
+	if a, ok := s.responses.Get(h); ok {
 		r.Answer = a
 	}
 	return r
 }
 
-// Finish remembers how the request ended.
+// Finish records the final state of the request and its response.
 func (s *Session) Finish(id ID, state State, a Answer) {
 	h := hashID(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, ok := s.used[h]
+	e, ok := s.requests[h]
 	if !ok {
-		return // the ticket expired meanwhile
+		return // the ticket has expired and the request was removed
 	}
 	if state == Released {
-		// The place in expiry stays; dropping it twice does no harm.
-		delete(s.used, h)
+		// The entry in expiry stays. If the request is begun again it gets a second one; removing
+		// a request twice is harmless.
+		delete(s.requests, h)
 		return
 	}
 	e.state, e.status = state, a.Status
 	if a.Kept {
-		s.answers.Add(h, a)
+		s.responses.Add(h, a)
 	}
 }
--- a/pkg/claim/session_test.go
+++ b/pkg/claim/session_test.go
@@ -16,7 +16,7 @@
 	return NewSession(config)
 }
 
-func begin(t *testing.T, s *Session, account, key string) (Verdict, *Record) {
+func begin(t *testing.T, s *Session, account, key string) (Decision, *Record) {
 	t.Helper()
 	ticket, ticketed := ParseTicket(key)
 	if !ticketed || ticket == nil {
@@ -31,28 +31,28 @@
 	ticket := s.Issue("acme")
 	key := ticket + "/1"
 	if v, _ := begin(t, s, "acme", key); v != Run {
-		t.Fatalf("first: %v", v)
+		t.Fatalf("first attempt: %v, want Run", v)
 	}
 	if v, r := begin(t, s, "acme", key); v != Seen || r.State != Running {
-		t.Errorf("while running: %v %+v", v, r)
+		t.Errorf("retry of a running request: %v %+v, want a record in state Running", v, r)
 	}
 	s.Finish(ID{"acme", "filing", key}, Done, Answer{Status: 201, Kept: true, Body: []byte("x")})
 	if v, r := begin(t, s, "acme", key); v != Seen || r.State != Done || string(r.Answer.Body) != "x" {
-		t.Errorf("when done: %v %+v", v, r)
+		t.Errorf("retry of a completed request: %v %+v, want a record with the response", v, r)
 	}
 	if v, _ := begin(t, s, "acme", ticket+"/2"); v != Run {
-		t.Errorf("another request under the ticket: %v", v)
+		t.Errorf("another request with the same ticket: %v, want Run", v)
 	}
 	s.Finish(ID{"acme", "filing", ticket + "/2"}, Released, Answer{})
 	if v, _ := begin(t, s, "acme", ticket+"/2"); v != Run {
-		t.Errorf("after a release: %v", v)
+		t.Errorf("retry after a release: %v, want Run", v)
 	}
 	fake.Advance(TicketTTL)
 	if v, _ := begin(t, s, "acme", key); v != Expired {
-		t.Errorf("after the ticket's end: %v", v)
+		t.Errorf("after the ticket expired: %v, want Expired", v)
 	}
-	if len(s.used) != 0 {
-		t.Errorf("%d requests remembered after their tickets' end", len(s.used))
+	if len(s.requests) != 0 {
+		t.Errorf("%d requests are still recorded after their tickets expired", len(s.requests))
 	}
 }
 
@@ -61,37 +61,37 @@
 	s := testSession(fake, nil)
 	key := s.Issue("acme") + "/1"
 	if v, _ := begin(t, s, "other", key); v != Forged {
-		t.Errorf("another account: %v", v)
+		t.Errorf("ticket of another account: %v, want Forged", v)
 	}
 	if v, _ := begin(t, testSession(fake, nil), "acme", key); v != Forged {
-		t.Errorf("another process of the same name: %v", v)
+		t.Errorf("ticket of another process with the same VM and incarnation: %v, want Forged", v)
 	}
 	i := strings.LastIndex(key, ".") + 1
 	forged := key[:i] + strings.Repeat("A", 43) + "/1"
 	if v, _ := begin(t, s, "acme", forged); v != Forged {
-		t.Errorf("altered: %v", v)
+		t.Errorf("altered signature: %v, want Forged", v)
 	}
 }
 
-func TestSessionNeverForgetsWhenFull(t *testing.T) {
+func TestSessionRefusesWhenFull(t *testing.T) {
 	fake := clock.NewFake(1)
-	s := testSession(fake, func(c *SessionConfig) { c.MaxUsed, c.MaxAnswers = 2, 1 })
+	s := testSession(fake, func(c *SessionConfig) { c.MaxRequests, c.MaxResponses = 2, 1 })
 	ticket := s.Issue("acme")
-	for _, own := range []string{"/1", "/2"} {
-		if v, _ := begin(t, s, "acme", ticket+own); v != Run {
+	for _, suffix := range []string{"/1", "/2"} {
+		if v, _ := begin(t, s, "acme", ticket+suffix); v != Run {
 			t.Fatal(v)
 		}
-		s.Finish(ID{"acme", "filing", ticket + own}, Done, Answer{Status: 200, Kept: true})
+		s.Finish(ID{"acme", "filing", ticket + suffix}, Done, Answer{Status: 200, Kept: true})
 	}
 	if v, _ := begin(t, s, "acme", ticket+"/3"); v != Full {
-		t.Errorf("a third: %v", v)
+		t.Errorf("third request: %v, want Full", v)
 	}
 	if v, r := begin(t, s, "acme", ticket+"/1"); v != Seen || r.Answer.Kept || r.Answer.Status != 200 {
-		t.Errorf("the first: %v %+v", v, r)
+		t.Errorf("retry of the first request: %v %+v, want a record with only the status", v, r)
 	}
 	fake.Advance(TicketTTL + time.Second)
 	if v, _ := begin(t, s, "acme", s.Issue("acme")+"/3"); v != Run {
-		t.Errorf("after the tickets' end: %v", v)
+		t.Errorf("new request after the tickets expired: %v, want Run", v)
 	}
 }
 
@@ -107,10 +107,10 @@
 			return
 		}
 		if !ticketed {
-			t.Fatal("a ticket without a claim to one")
+			t.Fatal("ParseTicket returned a ticket but ticketed is false")
 		}
 		if v, _ := s.Begin(ID{"other", "filing", key}, ticket); v != Forged {
-			t.Errorf("%q accepted for an account that has no ticket: %v", key, v)
+			t.Errorf("%q: %v, want Forged for an account that has no ticket", key, v)
 		}
 	})
 }
--- a/pkg/claim/store.go
+++ b/pkg/claim/store.go
@@ -17,50 +17,50 @@
 )
 
 const (
-	// partitionPrefix is followed by the first byte of the hashed ID, which
-	// spreads the claims over 256 partitions.
+	// partitionPrefix is followed by the first byte of the hashed ID, in hex. This distributes the
+	// claims over 256 partitions.
 	partitionPrefix = "claim/"
-	// maxRecent bounds the records kept in memory, answers of a few KiB each.
+	// maxRecent is the largest number of records in memory, with responses of a few KiB each.
 	maxRecent = 1024
-	// maxSteps bounds the writes of one claim.
-	maxSteps = 6
-	// The result of a request is recorded while its caller waits no longer.
+	// maxClaimWrites is the largest number of writes for one claim.
+	maxClaimWrites = 6
+	// The result of a request is recorded in the background, while its caller no longer waits.
 	recordAttempts = 4
 	recordTimeout  = 4 * time.Second
 	recordDelay    = 200 * time.Millisecond
 )
 
-// StoreConfig holds what a Store works with.
+// StoreConfig configures a Store.
 type StoreConfig struct {
 	Table       storage.Table
 	VM          string
 	Incarnation string
 }
 
-// Store claims plain keys in the platform's table. It is safe for concurrent
-// use.
+// Store claims plain keys in the platform's table. It is safe for concurrent use.
 type Store struct {
 	config  StoreConfig
 	batcher *batcher
-	// recent holds what this process claimed last and has not released, so
-	// that a re-send needs no table.
+	// recent holds the latest claims of this process that it has not released, so that their
+	// retries are answered without the table.
 	recent *lru.Cache[storage.Key, Record]
-	// delay separates the attempts to record a result; it doubles.
-	delay time.Duration
-	// recording counts the results that are being written.
-	recording sync.WaitGroup
+	// retryDelay is the time between the first two attempts to record a result; it doubles with each
+	// attempt.
+	retryDelay time.Duration
+	// background tracks the background writes in flight.
+	background sync.WaitGroup
 }
 
-// NewStore returns a Store.
+// NewStore returns a Store that has claimed nothing yet.
 func NewStore(c StoreConfig) *Store {
 	recent, err := lru.New[storage.Key, Record](maxRecent)
 	if err != nil {
 		panic(err) // only a size below 1 fails
 	}
-	return &Store{config: c, batcher: &batcher{table: c.Table}, recent: recent, delay: recordDelay}
+	return &Store{config: c, batcher: &batcher{table: c.Table}, recent: recent, retryDelay: recordDelay}
 }
 
-// Claim is a claimed request. Finish is called once.
+// Claim is a request claimed by this process. Finish must be called exactly once.
 type Claim struct {
 	store    *Store
 	key      storage.Key
@@ -68,8 +68,8 @@
 	record   Record
 }
 
-// Claim claims the request for this process. Exactly one result is set: the
-// claim, the record of who claimed it before, or ErrUnavailable.
+// Claim claims the request for this process. Exactly one result is set: the claim, the record of
+// an earlier claim, or ErrUnavailable.
 func (s *Store) Claim(ctx context.Context, id ID) (*Claim, *Record, error) {
 	c := &Claim{store: s, key: itemKey(id), record: Record{
 		Token:       uuid.NewString(),
@@ -80,49 +80,49 @@
 	if r := s.Recent(id); r != nil {
 		return nil, r, nil
 	}
-	revision, maybe := int64(0), false
-	for range maxSteps {
+	revision, mayHaveWritten := int64(0), false
+	for range maxClaimWrites {
 		err := s.batcher.write(ctx, storage.Write{Key: c.key, IfRevision: revision, Value: c.record.encode()})
 		if err == nil {
-			return s.own(c, revision+1), nil, nil
+			return s.addOwned(c, revision+1), nil, nil
 		}
 		if errors.Is(err, storage.ErrUnavailable) {
 			break
 		}
-		maybe = maybe || errors.Is(err, storage.ErrIndeterminate)
-		v, readErr := s.settle(ctx, c.key, c.record.Token)
+		mayHaveWritten = mayHaveWritten || errors.Is(err, storage.ErrIndeterminate)
+		read, readErr := s.readBack(ctx, c.key, c.record.Token)
 		if readErr != nil && errors.Is(err, errConflict) {
-			// Somebody claimed it, and who it was cannot be read.
+			// Another claimer owns the request, but its record cannot be read.
 			return nil, &Record{State: Running}, nil
 		}
 		if readErr != nil {
 			break
 		}
-		switch v.kind {
+		switch read.ownership {
 		case owned:
-			return s.own(c, v.revision), nil, nil
+			return s.addOwned(c, read.revision), nil, nil
 		case taken:
-			return nil, v.record, nil
+			return nil, read.record, nil
 		case free:
-			revision = v.revision
+			revision = read.revision
 		}
 	}
-	if maybe {
-		// The write may still take effect, and nothing will run for it.
+	if mayHaveWritten {
+		// A write may still take effect, although the request will not run: release the claim.
 		s.record(func(ctx context.Context) bool { return s.abandon(ctx, c) })
 	}
 	return nil, nil, ErrUnavailable
 }
 
-// own notes that the claim is this process's.
-func (s *Store) own(c *Claim, revision int64) *Claim {
+// addOwned completes a claim that this process owns and adds it to recent.
+func (s *Store) addOwned(c *Claim, revision int64) *Claim {
 	c.revision = revision
 	s.recent.Add(c.key, c.record)
 	return c
 }
 
-// Recent returns the record of a request that this process claimed lately and
-// did not release, or nil. It asks no table.
+// Recent returns the record of a request that this process claimed recently and did not release,
+// or nil. It does not access the table.
 func (s *Store) Recent(id ID) *Record {
 	r, ok := s.recent.Get(itemKey(id))
 	if !ok {
@@ -131,55 +131,56 @@
 	return &r
 }
 
-// verdictKind says what a read of the claim means to a claimer.
-type verdictKind uint8
+// ownership says whether a claimer owns a request, according to the claim's item in the table.
+type ownership uint8
 
 const (
-	// free claims may be written at the verdict's revision.
-	free verdictKind = iota
-	// owned claims carry the reader's token.
+	// free means that nobody owns the request. It can be claimed by a write at the read revision.
+	free ownership = iota
+	// owned means that the item holds the claimer's token.
 	owned
-	// taken claims belong to another claimer.
+	// taken means that another claimer owns the request.
 	taken
 )
 
-type verdict struct {
-	kind     verdictKind
-	revision int64
-	record   *Record
+// readResult is the result of reading a claim back from the table.
+type readResult struct {
+	ownership ownership
+	revision  int64
+	record    *Record
 }
 
-// settle reads the claim back and judges it.
-func (s *Store) settle(ctx context.Context, key storage.Key, token string) (verdict, error) {
+// readBack reads the claim's item and determines who owns the request.
+func (s *Store) readBack(ctx context.Context, key storage.Key, token string) (readResult, error) {
 	item, err := s.config.Table.Get(ctx, key)
 	if errors.Is(err, storage.ErrNotFound) {
-		return verdict{kind: free}, nil
+		return readResult{ownership: free}, nil
 	}
 	if err != nil {
-		return verdict{}, err
+		return readResult{}, err
 	}
-	return judge(item, token)
+	return classify(item, token)
 }
 
-// judge decides what an item of the table means to the claimer with token.
-func judge(item storage.Item, token string) (verdict, error) {
+// classify determines who owns the claim in item, for the claimer with the token.
+func classify(item storage.Item, token string) (readResult, error) {
 	r := &Record{}
 	if err := json.Unmarshal(item.Value, r); err != nil {
-		return verdict{}, fmt.Errorf("claim %s: %w", item.Sort, err)
+		return readResult{}, fmt.Errorf("claim %s: %w", item.Sort, err)
 	}
 	switch {
 	case r.State == Released:
-		return verdict{kind: free, revision: item.Revision}, nil
+		return readResult{ownership: free, revision: item.Revision}, nil
 	case r.Token == token:
-		return verdict{kind: owned, revision: item.Revision, record: r}, nil
+		return readResult{ownership: owned, revision: item.Revision, record: r}, nil
 	default:
-		return verdict{kind: taken, revision: item.Revision, record: r}, nil
+		return readResult{ownership: taken, revision: item.Revision, record: r}, nil
 	}
 }
 
-// Finish records, in the background, how the request ended. The item of a
-// Released claim stays: deleted and created again it would have its old
-// revision back, and a late release of the first claim could free the second.
+// Finish records the final state of the request in the background. The item of a Released claim is
+// not deleted: an item that is deleted and created again has its old revision, and so a late release
+// of the first claim could release the second one.
 func (c *Claim) Finish(state State, a Answer) {
 	c.record.State, c.record.Answer = state, a
 	if state == Released {
@@ -190,32 +191,33 @@
 	c.store.record(c.write)
 }
 
-// write reports whether there is no more to do.
+// write writes the record once and reports whether no retry is needed.
 func (c *Claim) write(ctx context.Context) bool {
 	err := c.store.batcher.write(ctx, storage.Write{Key: c.key, IfRevision: c.revision, Value: c.record.encode()})
-	// A conflict means that an earlier attempt took effect after all.
+	// A conflict means that an earlier attempt took effect although its response was lost.
 	return err == nil || errors.Is(err, errConflict)
 }
 
-// abandon releases a claim whose write's answer was lost, if it took effect.
+// abandon releases a claim that will not run, if its write took effect although the response was
+// lost. It reports whether no retry is needed.
 func (s *Store) abandon(ctx context.Context, c *Claim) bool {
-	v, err := s.settle(ctx, c.key, c.record.Token)
-	if err != nil || v.kind == free {
-		return false // it may still take effect; look again
+	read, err := s.readBack(ctx, c.key, c.record.Token)
+	if err != nil || read.ownership == free {
+		return false // the write may still take effect; read again later
 	}
-	if v.kind == taken {
+	if read.ownership == taken {
 		return true
 	}
 	released := *c
-	released.revision, released.record.State = v.revision, Released
+	released.revision, released.record.State = read.revision, Released
 	return released.write(ctx)
 }
 
-// record runs f until it reports success or its attempts are used up.
+// record runs f in the background, at most recordAttempts times, until it returns true.
 func (s *Store) record(f func(ctx context.Context) bool) {
-	s.recording.Add(1)
+	s.background.Add(1)
 	go func() {
-		defer s.recording.Done()
+		defer s.background.Done()
 		for i := range recordAttempts {
 			ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 			done := f(ctx)
@@ -223,23 +225,24 @@
 			if done {
 				return
 			}
-			time.Sleep(s.delay << i)
+			time.Sleep(s.retryDelay << i)
 		}
 	}()
 }
 
-// Wait returns when all results have been recorded or given up.
-func (s *Store) Wait() { s.recording.Wait() }
+// Wait returns once no background write is in flight: each has succeeded or run out of attempts.
+func (s *Store) Wait() { s.background.Wait() }
 
-// itemKey hashes the ID: account names and keys may hold any character.
+// itemKey returns the table key of a claim. It hashes the ID because account names and idempotency
+// keys may contain any character.
 func itemKey(id ID) storage.Key {
 	h := hashID(id)
 	text := hex.EncodeToString(h[:])
 	return storage.Key{Partition: partitionPrefix + text[:2], Sort: text}
 }
 
-// hashID hashes the parts with their lengths, so that no two IDs join up to
-// the same bytes.
+// hashID hashes the parts of the ID with their lengths, so that different IDs never hash the same
+// bytes.
 func hashID(id ID) [sha256.Size]byte {
 	return sha256.Sum256(fmt.Appendf(nil, "%d:%s,%d:%s,%d:%s",
 		len(id.Account), id.Account, len(id.Route), id.Route, len(id.Key), id.Key))
--- a/pkg/claim/store_test.go
+++ b/pkg/claim/store_test.go
@@ -13,31 +13,32 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// newTestStore returns a Store that does not wait between attempts.
+// newTestStore returns a Store with almost no delay between background attempts.
 func newTestStore(table storage.Table, vm string) *Store {
 	s := NewStore(StoreConfig{Table: table, VM: vm, Incarnation: vm + "-1"})
-	s.delay = time.Nanosecond
+	s.retryDelay = time.Nanosecond
 	return s
 }
 
-// TestClaimRunsOnce has VMs claim, finish, release and forget (as a crash does)
-// one request over random faults, and checks that it never runs a second time
-// unless every earlier claim was released before it ran.
+// TestClaimRunsOnce lets several VMs claim, run and release one request under random faults of the
+// table. A VM that runs it never finishes the claim, as if it had crashed. The test checks that the
+// request never runs a second time, and is never claimed again unless every earlier claim was
+// released without running.
 func TestClaimRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newFakeTable()
-		// Drawn beforehand: the table is called on other goroutines.
+		// The faults are drawn in advance because the table is called on other goroutines.
 		table.faults = rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(numFaults)-1),
 			func(i int) fault { return fault(i) }), 0, 60).Draw(t, "faults")
-		table.getsDown = rapid.SliceOfN(rapid.Bool(), 0, 20).Draw(t, "gets down")
+		table.failingGets = rapid.SliceOfN(rapid.Bool(), 0, 20).Draw(t, "failing gets")
 		id := ID{"acme", "filing", "k"}
 		var ran int
-		var open []*Claim
+		var unfinished []*Claim
 		for i := range rapid.IntRange(2, 12).Draw(t, "steps") {
 			s := newTestStore(table, fmt.Sprintf("vm-%d", i))
-			if len(open) > 0 && rapid.Bool().Draw(t, "end") {
-				c := open[0]
-				open = open[1:]
+			if len(unfinished) > 0 && rapid.Bool().Draw(t, "end") {
+				c := unfinished[0]
+				unfinished = unfinished[1:]
 				c.Finish(Released, Answer{})
 				c.store.Wait()
 				continue
@@ -45,7 +46,7 @@
 			c, record, err := s.Claim(context.Background(), id)
 			s.Wait()
 			if set := btoi(c != nil) + btoi(record != nil) + btoi(err != nil); set != 1 {
-				t.Fatalf("%d results", set)
+				t.Fatalf("%d of the results are set, want 1", set)
 			}
 			if c == nil {
 				continue
@@ -53,10 +54,10 @@
 			if rapid.Bool().Draw(t, "runs") {
 				ran++
 			} else {
-				open = append(open, c)
+				unfinished = append(unfinished, c)
 			}
-			if ran+len(open) > 1 {
-				t.Fatalf("%d requests ran and %d others may", ran, len(open))
+			if ran+len(unfinished) > 1 {
+				t.Fatalf("%d claims ran and %d others may still run, want at most 1 together", ran, len(unfinished))
 			}
 		}
 	})
@@ -69,9 +70,9 @@
 	return 0
 }
 
-// TestLateReleaseFreesNothing replays the release of a first claim after a
-// second one was made.
-func TestLateReleaseFreesNothing(t *testing.T) {
+// TestLateReleaseKeepsNewClaim guards against a late release of a first claim that releases a
+// second one, made after the first was released.
+func TestLateReleaseKeepsNewClaim(t *testing.T) {
 	table := newFakeTable()
 	id := ID{"acme", "filing", "k"}
 	first, _, _ := newTestStore(table, "vm-1").Claim(context.Background(), id)
@@ -80,43 +81,43 @@
 	first.store.Wait()
 	second, _, _ := newTestStore(table, "vm-2").Claim(context.Background(), id)
 	if second == nil {
-		t.Fatal("a released claim cannot be claimed again")
+		t.Fatal("a released request cannot be claimed again")
 	}
 	replayed.Finish(Released, Answer{})
 	replayed.store.Wait()
 	if third, _, _ := newTestStore(table, "vm-3").Claim(context.Background(), id); third != nil {
-		t.Error("a late release freed another claim")
+		t.Error("a late release of the first claim released the second")
 	}
 }
 
-func TestLostAnswerIsSettled(t *testing.T) {
+func TestClaimWithLostResponse(t *testing.T) {
 	for _, f := range []fault{lostBefore, lostAfter, late} {
 		table := newFakeTable()
 		table.faults = []fault{f}
 		c, _, err := newTestStore(table, "vm-1").Claim(context.Background(), ID{"a", "r", "k"})
 		if err != nil || c == nil {
-			t.Errorf("fault %d: %v", f, err)
+			t.Errorf("fault %d: claim failed: %v", f, err)
 			continue
 		}
 		c.Finish(Done, Answer{Status: 201, Kept: true, Body: []byte("x")})
 		c.store.Wait()
 		_, record, _ := newTestStore(table, "vm-2").Claim(context.Background(), ID{"a", "r", "k"})
 		if record == nil || record.State != Done || string(record.Answer.Body) != "x" {
-			t.Errorf("fault %d: recorded %+v", f, record)
+			t.Errorf("fault %d: record %+v, want Done with the response", f, record)
 		}
 	}
 }
 
-func TestUnavailableTableClaimsNothing(t *testing.T) {
+func TestNoClaimWithoutTable(t *testing.T) {
 	table := newFakeTable()
 	table.faults = []fault{down, down, down, down}
 	if _, _, err := newTestStore(table, "vm-1").Claim(context.Background(), ID{"a", "r", "k"}); !errors.Is(err, ErrUnavailable) {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v, want ErrUnavailable", err)
 	}
 }
 
-// TestConcurrentClaimsShareTransactions checks that one of many claimers wins
-// each request and that writes are batched.
+// TestConcurrentClaimsShareTransactions checks that exactly one of several concurrent claimers gets
+// each request, and that no transaction has too many writes.
 func TestConcurrentClaimsShareTransactions(t *testing.T) {
 	table := newFakeTable()
 	stores := []*Store{newTestStore(table, "vm-1"), newTestStore(table, "vm-2")}
@@ -141,15 +142,15 @@
 	wg.Wait()
 	for key, n := range won {
 		if n != 1 {
-			t.Errorf("%s claimed %d times", key, n)
+			t.Errorf("request %s was claimed %d times", key, n)
 		}
 	}
 	if len(won) != ids {
-		t.Errorf("%d of %d claimed", len(won), ids)
+		t.Errorf("%d of %d requests were claimed", len(won), ids)
 	}
-	for _, n := range table.sizes {
+	for _, n := range table.transactionSizes {
 		if n > storage.MaxTransactWrites {
-			t.Errorf("a transaction of %d writes", n)
+			t.Errorf("a transaction has %d writes, more than MaxTransactWrites", n)
 		}
 	}
 }
@@ -159,13 +160,13 @@
 	f.Fuzz(func(t *testing.T, a, b, c, x, y, z string) {
 		one, two := ID{a, b, c}, ID{x, y, z}
 		if (one == two) != (hashID(one) == hashID(two)) {
-			t.Errorf("%q and %q", one, two)
+			t.Errorf("hashes of %q and %q: equal IDs must have equal hashes and different IDs different ones", one, two)
 		}
 	})
 }
 
-// BenchmarkClaim compares batched claims with one transaction for each, on a
-// table that takes 2 ms a transaction.
+// BenchmarkClaim compares batched claims with one transaction per claim, on a table that takes 2 ms
+// per transaction.
 func BenchmarkClaim(b *testing.B) {
 	for _, batched := range []bool{true, false} {
 		b.Run(fmt.Sprintf("batched=%v", batched), func(b *testing.B) {
@@ -187,11 +188,12 @@
 					}
 				}
 			})
-			b.ReportMetric(float64(len(table.sizes))/float64(b.N), "transactions/claim")
+			b.ReportMetric(float64(len(table.transactionSizes))/float64(b.N), "transactions/claim")
 		})
 	}
 }
 
+// slowTable delays each transaction.
 type slowTable struct{ *fakeTable }
 
 func (s *slowTable) Transact(ctx context.Context, writes []storage.Write) error {
--- a/pkg/claim/table_test.go
+++ b/pkg/claim/table_test.go
@@ -8,33 +8,34 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// fault is what happens to one transaction.
+// fault is the fault of one transaction.
 type fault int
 
 const (
 	none fault = iota
-	down
-	// lostBefore and lostAfter lose the answer to a transaction that did not
-	// or did take effect.
+	down       // the table is unavailable
+	// lostBefore loses the response to a transaction that does not take effect, lostAfter to one
+	// that does.
 	lostBefore
 	lostAfter
-	// late loses the answer and applies the transaction at the next call.
+	// late loses the response and applies the transaction only at the next call.
 	late
-	// collision refuses without naming a write.
+	// collision fails the transaction without naming a failed condition.
 	collision
 	numFaults
 )
 
-// fakeTable is a table in memory whose faults a test chooses.
+// fakeTable is an in-memory table with the faults that a test sets.
 type fakeTable struct {
 	mu    sync.Mutex
 	items map[storage.Key]storage.Item
-	// faults holds those of the next transactions, getsDown which of the next
-	// reads fail.
-	faults   []fault
-	getsDown []bool
-	delayed  [][]storage.Write
-	sizes    []int
+	// faults are the faults of the next transactions. failingGets says which of the next reads
+	// fail.
+	faults      []fault
+	failingGets []bool
+	// delayed holds the transactions to apply at the next call.
+	delayed          [][]storage.Write
+	transactionSizes []int
 }
 
 func newFakeTable() *fakeTable { return &fakeTable{items: map[storage.Key]storage.Item{}} }
@@ -42,8 +43,8 @@
 func (f *fakeTable) Get(_ context.Context, key storage.Key) (storage.Item, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var down bool
-	if down, f.getsDown = shift(f.getsDown); down {
+	var fail bool
+	if fail, f.failingGets = popFirst(f.failingGets); fail {
 		return storage.Item{}, storage.ErrUnavailable
 	}
 	item, ok := f.items[key]
@@ -60,10 +61,10 @@
 func (f *fakeTable) Transact(_ context.Context, writes []storage.Write) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.flushLocked()
-	f.sizes = append(f.sizes, len(writes))
+	f.applyDelayedLocked()
+	f.transactionSizes = append(f.transactionSizes, len(writes))
 	var next fault
-	next, f.faults = shift(f.faults)
+	next, f.faults = popFirst(f.faults)
 	switch next {
 	case down:
 		return storage.ErrUnavailable
@@ -82,17 +83,17 @@
 	return err
 }
 
-// shift takes the first element of s, or the zero value.
-func shift[T any](s []T) (first T, rest []T) {
+// popFirst returns the first element of s, or the zero value if s is empty, and the rest.
+func popFirst[T any](s []T) (first T, rest []T) {
 	if len(s) == 0 {
 		return first, nil
 	}
 	return s[0], s[1:]
 }
 
-func (f *fakeTable) flushLocked() {
+func (f *fakeTable) applyDelayedLocked() {
 	for _, writes := range f.delayed {
-		_ = f.applyLocked(writes) // its answer is lost in any case
+		_ = f.applyLocked(writes) // its response was lost, so its error is not reported
 	}
 	f.delayed = nil
 }
--- a/pkg/claim/ticket.go
+++ b/pkg/claim/ticket.go
@@ -14,44 +14,42 @@
 
 const (
 	ticketPrefix = "t1."
-	// ticketSeparator ends the ticket within a key; the caller's own part
-	// follows it.
+	// ticketSeparator separates the ticket from the caller's own part of the key.
 	ticketSeparator = "/"
 	secretBytes     = 32
 )
 
-// Ticket names the only process that runs the requests whose keys begin with
-// it.
+// Ticket names the only process that may run the requests whose keys begin with it.
 type Ticket struct {
 	VM          string `json:"v"`
 	Incarnation string `json:"i"`
 	// Account is the hash of the client account that the ticket is for.
 	Account []byte `json:"a"`
-	// Expires is on the issuer's clock.
+	// Expires is a time of the issuer's clock.
 	Expires clock.Time `json:"e"`
 
-	signed    string
+	payload   string
 	signature []byte
 }
 
-// ParseTicket finds the ticket in an idempotency key. Ticketed reports whether
-// the key claims to have one; it is malformed where the ticket is nil then.
-// Only the issuer can tell whether a ticket is genuine.
+// ParseTicket parses the ticket in an idempotency key. ticketed reports whether the key starts with
+// the ticket prefix; if t is nil then, the ticket is malformed. Only the issuer can verify the
+// signature.
 func ParseTicket(key string) (t *Ticket, ticketed bool) {
 	rest, ok := strings.CutPrefix(key, ticketPrefix)
 	if !ok {
 		return nil, false
 	}
-	text, own, ok := strings.Cut(rest, ticketSeparator)
-	payload, mac, signed := strings.Cut(text, ".")
-	if !ok || !signed || own == "" {
+	text, suffix, ok := strings.Cut(rest, ticketSeparator)
+	payload, mac, hasSignature := strings.Cut(text, ".")
+	if !ok || !hasSignature || suffix == "" {
 		return nil, true
 	}
 	b, err := base64.RawURLEncoding.DecodeString(payload)
 	if err != nil {
 		return nil, true
 	}
-	t = &Ticket{signed: payload}
+	t = &Ticket{payload: payload}
 	if err := json.Unmarshal(b, t); err != nil {
 		return nil, true
 	}
@@ -61,8 +59,8 @@
 	return t, true
 }
 
-// issuer makes and checks the tickets of one process. Its secret never leaves
-// the process, so that no other one can be taken for it.
+// issuer issues and verifies the tickets of one process. Its secret never leaves the process, so no
+// other process can issue tickets in its name.
 type issuer struct {
 	vm          string
 	incarnation string
@@ -80,16 +78,16 @@
 func (i *issuer) issue(account string, expires clock.Time) string {
 	b, err := json.Marshal(Ticket{VM: i.vm, Incarnation: i.incarnation, Account: hashAccount(account), Expires: expires})
 	if err != nil {
-		panic(err) // strings, integers and bytes always have a JSON form
+		panic(err) // strings, integers and bytes can always be encoded as JSON
 	}
 	payload := base64.RawURLEncoding.EncodeToString(b)
 	return ticketPrefix + payload + "." + base64.RawURLEncoding.EncodeToString(i.sign(payload))
 }
 
-// genuine reports whether this process issued the ticket for the account.
-func (i *issuer) genuine(t *Ticket, account string) bool {
+// verify reports whether this process issued the ticket for the account.
+func (i *issuer) verify(t *Ticket, account string) bool {
 	return t.VM == i.vm && t.Incarnation == i.incarnation &&
-		hmac.Equal(t.Account, hashAccount(account)) && hmac.Equal(t.signature, i.sign(t.signed))
+		hmac.Equal(t.Account, hashAccount(account)) && hmac.Equal(t.signature, i.sign(t.payload))
 }
 
 func (i *issuer) sign(payload string) []byte {
@@ -103,6 +101,5 @@
 	return h[:16]
 }
 
-// TicketTTL is how long a ticket may be used, and how long the requests that
-// ran under it are remembered.
+// TicketTTL is how long a ticket is valid. The requests that ran with it are recorded as long.
 const TicketTTL = 10 * time.Minute
