--- a/pkg/operator/accounts.go
+++ b/pkg/operator/accounts.go
@@ -8,7 +8,7 @@
 )
 
 // accounts implements the Accounts service.
-type accounts struct{ writer }
+type accounts struct{ baseService }
 
 const defaultWeight = 1
 
@@ -28,14 +28,14 @@
 	return &operatorpb.AccountResponse{Account: accountMessage(&a), Version: version}, nil
 }
 
-// accountPatch holds the fields that an update sets.
+// accountPatch holds the fields that an update changes; nil fields keep their value.
 type accountPatch struct {
 	rate, burst *float64
 	weight      *int32
 }
 
-// update changes some fields of an account.
-func (w *writer) update(ctx context.Context, name string, p accountPatch, expected int64) (*operatorpb.AccountResponse, error) {
+// update applies a patch to an account.
+func (w *baseService) update(ctx context.Context, name string, p accountPatch, expected int64) (*operatorpb.AccountResponse, error) {
 	var a config.Account
 	version, err := w.propose(ctx, expected, func(c *config.Config) (config.Action, error) {
 		current, err := find(c.Accounts, config.KindAccount, name)
@@ -93,7 +93,7 @@
 }
 
 // limits implements the Limits service.
-type limits struct{ writer }
+type limits struct{ baseService }
 
 // Set implements operatorpb.Limits.
 func (s *limits) Set(ctx context.Context, r *operatorpb.SetLimitRequest) (*operatorpb.AccountResponse, error) {
--- a/pkg/operator/configuration.go
+++ b/pkg/operator/configuration.go
@@ -11,22 +11,23 @@
 	"crocusramp.dev/crocusramp/pkg/config"
 )
 
+// The default and largest number of changes in a History response.
 const (
-	defaultHistory = 50
-	maxHistory     = 500
+	defaultHistoryLimit = 50
+	maxHistoryLimit     = 500
 )
 
 // configuration implements the Configuration service.
-type configuration struct{ writer }
+type configuration struct{ baseService }
 
 // History implements operatorpb.Configuration.
 func (s *configuration) History(ctx context.Context, r *operatorpb.HistoryRequest) (*operatorpb.HistoryResponse, error) {
 	limit := int(r.Limit)
-	if limit < 0 || limit > maxHistory || r.BeforeVersion < 0 {
+	if limit < 0 || limit > maxHistoryLimit || r.BeforeVersion < 0 {
 		return nil, twirp.InvalidArgumentError("limit", "and before_version must not be negative, nor limit above 500")
 	}
 	if limit == 0 {
-		limit = defaultHistory
+		limit = defaultHistoryLimit
 	}
 	changes, err := s.cfg.Feed.History(ctx, r.BeforeVersion, limit)
 	if err != nil {
@@ -63,7 +64,8 @@
 	}, nil
 }
 
-// historyValue returns the entity as JSON, without the salt and hash of a key.
+// historyValue returns the entity after a change as JSON, without the salt and hash of a key. It is
+// empty for a deletion.
 func historyValue(a config.Action, op config.Op) (string, error) {
 	if op == config.OpDelete {
 		return "", nil
--- a/pkg/operator/convert.go
+++ b/pkg/operator/convert.go
@@ -11,7 +11,7 @@
 	"crocusramp.dev/crocusramp/pkg/config"
 )
 
-// sorted converts the entities of a map in order of their names.
+// sorted converts the entities of a map to messages, sorted by name.
 func sorted[T, M any](entities map[string]*T, convert func(*T) *M) []*M {
 	out := make([]*M, 0, len(entities))
 	for _, name := range slices.Sorted(maps.Keys(entities)) {
@@ -28,7 +28,7 @@
 	return &operatorpb.Limit{Account: a.Name, Rate: a.Rate, Burst: a.Burst}
 }
 
-// keyMessage leaves salt and hash out.
+// keyMessage omits the salt and hash of the key.
 func keyMessage(k *config.Key) *operatorpb.Key {
 	return &operatorpb.Key{Id: k.ID, Account: k.Account, Created: timestamppb.New(k.Created)}
 }
--- a/pkg/operator/drains.go
+++ b/pkg/operator/drains.go
@@ -8,8 +8,9 @@
 )
 
 // drains implements the Drains service.
-type drains struct{ writer }
+type drains struct{ baseService }
 
+// drainFrom converts a message to a drain and sets the default name.
 func drainFrom(m *operatorpb.Drain) config.Drain {
 	d := config.Drain{Name: m.Name, Kind: config.DrainKind(m.Kind), Subject: m.Subject}
 	if d.Name == "" {
--- a/pkg/operator/keys.go
+++ b/pkg/operator/keys.go
@@ -8,11 +8,11 @@
 	"crocusramp.dev/crocusramp/pkg/keys"
 )
 
-// keyring implements the Keys service.
-type keyring struct{ writer }
+// accountKeys implements the Keys service.
+type accountKeys struct{ baseService }
 
-// Grant implements operatorpb.Keys. Its answer alone holds the key's text.
-func (s *keyring) Grant(ctx context.Context, r *operatorpb.GrantKeyRequest) (*operatorpb.GrantKeyResponse, error) {
+// Grant implements operatorpb.Keys. Only its response contains the key's text.
+func (s *accountKeys) Grant(ctx context.Context, r *operatorpb.GrantKeyRequest) (*operatorpb.GrantKeyResponse, error) {
 	key, text := keys.New(r.Account)
 	version, err := s.put(ctx, r.ExpectedVersion, config.Action{Key: config.Create(key.ID, key)})
 	if err != nil {
@@ -22,12 +22,12 @@
 }
 
 // Withdraw implements operatorpb.Keys.
-func (s *keyring) Withdraw(ctx context.Context, r *operatorpb.WithdrawKeyRequest) (*operatorpb.DeleteResponse, error) {
+func (s *accountKeys) Withdraw(ctx context.Context, r *operatorpb.WithdrawKeyRequest) (*operatorpb.DeleteResponse, error) {
 	return s.remove(ctx, r.ExpectedVersion, config.Action{Key: config.Delete[config.Key](r.Id)})
 }
 
 // List implements operatorpb.Keys.
-func (s *keyring) List(_ context.Context, r *operatorpb.ListKeysRequest) (*operatorpb.ListKeysResponse, error) {
+func (s *accountKeys) List(_ context.Context, r *operatorpb.ListKeysRequest) (*operatorpb.ListKeysResponse, error) {
 	c, err := s.snapshot()
 	if err != nil {
 		return nil, err
@@ -38,11 +38,11 @@
 	if _, err := find(c.Accounts, config.KindAccount, r.Account); err != nil {
 		return nil, err
 	}
-	own := map[string]*config.Key{}
+	matching := map[string]*config.Key{}
 	for id, k := range c.Keys {
 		if k.Account == r.Account {
-			own[id] = k
+			matching[id] = k
 		}
 	}
-	return &operatorpb.ListKeysResponse{Keys: sorted(own, keyMessage), Version: c.Version}, nil
+	return &operatorpb.ListKeysResponse{Keys: sorted(matching, keyMessage), Version: c.Version}, nil
 }
--- a/pkg/operator/operations.go
+++ b/pkg/operator/operations.go
@@ -8,7 +8,7 @@
 )
 
 // operations implements the Operations service.
-type operations struct{ writer }
+type operations struct{ baseService }
 
 // Status implements operatorpb.Operations.
 func (s *operations) Status(ctx context.Context, _ *operatorpb.StatusRequest) (*operatorpb.StatusResponse, error) {
--- a/pkg/operator/places.go
+++ b/pkg/operator/places.go
@@ -8,9 +8,9 @@
 	"crocusramp.dev/crocusramp/pkg/config"
 )
 
-// Places are the names that the VM's settings know. A configuration that
-// speaks of other ones is accepted by every VM but does nothing, so that the
-// API refuses it. A nil list is not checked.
+// Places lists the names that are defined in the VM's settings. VMs would accept a configuration
+// that refers to other names, but it would have no effect. The API therefore rejects such a change.
+// Names are not checked against a nil list.
 type Places struct {
 	Pools          []string
 	Regions        []string
@@ -19,11 +19,11 @@
 	Targets []string
 }
 
-// check refuses names that the settings do not know.
+// check returns an error if the action refers to a name that is not listed.
 func (p *Places) check(a config.Action) error {
 	switch {
 	case a.Route != nil && a.Route.Value != nil:
-		return known(config.Entity{Kind: config.KindRoute, Name: a.Route.Name}, "pool", a.Route.Value.Pool, p.Pools)
+		return checkName(config.Entity{Kind: config.KindRoute, Name: a.Route.Name}, "pool", a.Route.Value.Pool, p.Pools)
 	case a.Shift != nil && a.Shift.Value != nil:
 		return p.checkShift(a.Shift.Value)
 	case a.Drain != nil && a.Drain.Value != nil:
@@ -34,34 +34,35 @@
 
 func (p *Places) checkShift(s *config.Shift) error {
 	e := config.Entity{Kind: config.KindShift, Name: s.Name}
-	if err := known(e, "pool", s.Pool, p.Pools); err != nil {
+	if err := checkName(e, "pool", s.Pool, p.Pools); err != nil {
 		return err
 	}
-	if err := known(e, "from", s.From, p.Regions); err != nil {
+	if err := checkName(e, "from", s.From, p.Regions); err != nil {
 		return err
 	}
-	return known(e, "to", s.To, p.Regions)
+	return checkName(e, "to", s.To, p.Regions)
 }
 
-// checkDrain leaves VMs out, which come and go.
+// checkDrain does not check the IDs of VMs, because VMs join and leave at run time.
 func (p *Places) checkDrain(d *config.Drain) error {
 	lists := map[config.DrainKind][]string{
 		config.DrainRegion:        p.Regions,
 		config.DrainFailureDomain: p.FailureDomains,
 		config.DrainTarget:        p.Targets,
 	}
-	return known(config.Entity{Kind: config.KindDrain, Name: d.Name}, "subject", d.Subject, lists[d.Kind])
+	return checkName(config.Entity{Kind: config.KindDrain, Name: d.Name}, "subject", d.Subject, lists[d.Kind])
 }
 
-// maxListed bounds how many names an error lists.
-const maxListed = 8
+// maxListedNames is the largest number of names in an error.
+const maxListedNames = 8
 
-func known(e config.Entity, field, value string, names []string) error {
+// checkName returns an error that lists the valid names if value is not one of them.
+func checkName(e config.Entity, field, value string, names []string) error {
 	if names == nil || slices.Contains(names, value) {
 		return nil
 	}
-	listed := strings.Join(names[:min(len(names), maxListed)], ", ")
-	if len(names) > maxListed {
+	listed := strings.Join(names[:min(len(names), maxListedNames)], ", ")
+	if len(names) > maxListedNames {
 		listed += ", ..."
 	}
 	return &config.FieldError{Entity: e, Field: field, Value: value, Reason: fmt.Sprintf("is not in the settings (%s)", listed)}
--- a/pkg/operator/routes.go
+++ b/pkg/operator/routes.go
@@ -8,8 +8,9 @@
 )
 
 // routes implements the Routes service.
-type routes struct{ writer }
+type routes struct{ baseService }
 
+// routeFrom converts a message to a route and sets the default priority.
 func routeFrom(m *operatorpb.Route) config.Route {
 	r := config.Route{
 		Name:       m.Name,
@@ -27,6 +28,7 @@
 	return r
 }
 
+// write creates or updates a route, depending on edit.
 func (s *routes) write(ctx context.Context, r *operatorpb.RouteRequest, edit func(string, config.Route) *config.Edit[config.Route]) (*operatorpb.RouteResponse, error) {
 	if err := required("route", r.Route != nil); err != nil {
 		return nil, err
--- a/pkg/operator/server.go
+++ b/pkg/operator/server.go
@@ -1,5 +1,5 @@
-// Package operator serves the operators' API: typed remote procedure calls
-// that change the configuration and show the state of the fleet.
+// Package operator serves the operators' API: remote procedure calls (Twirp) that change the
+// configuration and report the state of the fleet.
 package operator
 
 import (
@@ -15,13 +15,13 @@
 	"crocusramp.dev/crocusramp/pkg/feed"
 )
 
-// PathPrefix begins the path of every call, followed by service and method.
+// PathPrefix starts the path of every call. The service and method follow it.
 const PathPrefix = "/twirp/"
 
-// maxBody bounds the body of a call.
-const maxBody = 1 << 20
+// maxBodyBytes is the largest size of a request body.
+const maxBodyBytes = 1 << 20
 
-// Feed is what the API needs of feed.Feed.
+// Feed reads and changes the configuration. It is the part of feed.Feed that the API uses.
 type Feed interface {
 	Ready() bool
 	Snapshot() config.Snapshot
@@ -34,16 +34,16 @@
 	Status(ctx context.Context) (*operatorpb.StatusResponse, error)
 }
 
-// Config holds what a Server needs.
+// Config configures a Server. Feed is required.
 type Config struct {
 	Feed Feed
-	// Status answers status calls; nil makes them unavailable.
+	// Status is the source for status calls. If it is nil, they return an unavailable error.
 	Status StatusSource
 	Log    zerolog.Logger
-	// Places are the names that routes, shifts and drains may speak of; the
-	// zero value accepts any.
+	// Places lists the names that routes, shifts and drains may refer to. The zero value accepts
+	// any name.
 	Places Places
-	// Metrics receives the count of calls and errors by method; nil drops them.
+	// Metrics receives the counters of calls and errors by method; nil discards them.
 	Metrics metrics.Registry
 }
 
@@ -53,38 +53,39 @@
 	mux *http.ServeMux
 }
 
-// NewServer returns a Server.
+// NewServer returns a Server with all services.
 func NewServer(cfg Config) *Server {
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.NewRegistry()
 	}
 	s := &Server{cfg: cfg, mux: http.NewServeMux()}
 	hooks := twirp.WithServerHooks(s.hooks())
-	w := writer{cfg: cfg}
+	base := baseService{cfg: cfg}
 	for _, service := range []operatorpb.TwirpServer{
-		operatorpb.NewAccountsServer(&accounts{w}, hooks),
-		operatorpb.NewLimitsServer(&limits{w}, hooks),
-		operatorpb.NewKeysServer(&keyring{w}, hooks),
-		operatorpb.NewRoutesServer(&routes{w}, hooks),
-		operatorpb.NewShiftsServer(&shifts{w}, hooks),
-		operatorpb.NewDrainsServer(&drains{w}, hooks),
-		operatorpb.NewConfigurationServer(&configuration{w}, hooks),
-		operatorpb.NewOperationsServer(&operations{w}, hooks),
+		operatorpb.NewAccountsServer(&accounts{base}, hooks),
+		operatorpb.NewLimitsServer(&limits{base}, hooks),
+		operatorpb.NewKeysServer(&accountKeys{base}, hooks),
+		operatorpb.NewRoutesServer(&routes{base}, hooks),
+		operatorpb.NewShiftsServer(&shifts{base}, hooks),
+		operatorpb.NewDrainsServer(&drains{base}, hooks),
+		operatorpb.NewConfigurationServer(&configuration{base}, hooks),
+		operatorpb.NewOperationsServer(&operations{base}, hooks),
 	} {
 		s.mux.Handle(service.PathPrefix(), service)
 	}
 	return s
 }
 
-// Handler returns the handler of all services below PathPrefix.
+// Handler returns the HTTP handler for all services. They are at paths below PathPrefix.
 func (s *Server) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 		s.mux.ServeHTTP(w, r)
 	})
 }
 
-// hooks count calls and log those that failed for a cause on this side.
+// hooks returns hooks that count calls and errors, and log the calls that failed with a server error
+// (HTTP status 500 or above).
 func (s *Server) hooks() *twirp.ServerHooks {
 	return &twirp.ServerHooks{
 		RequestRouted: func(ctx context.Context) (context.Context, error) {
@@ -101,10 +102,12 @@
 	}
 }
 
+// count increments the counter for the call's method.
 func (s *Server) count(prefix string, ctx context.Context) {
 	metrics.GetOrRegisterCounter(prefix+method(ctx), s.cfg.Metrics).Inc(1)
 }
 
+// method returns the call's service and method, or "unrouted" if no method matches the path.
 func method(ctx context.Context) string {
 	service, _ := twirp.ServiceName(ctx)
 	name, ok := twirp.MethodName(ctx)
--- a/pkg/operator/server_test.go
+++ b/pkg/operator/server_test.go
@@ -19,7 +19,7 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// fakeFeed fails with err, or applies changes to config.
+// fakeFeed applies changes to config, or returns err if it is set.
 type fakeFeed struct {
 	config *config.Config
 	err    error
@@ -48,7 +48,7 @@
 
 func (f *fakeFeed) History(context.Context, int64, int) ([]config.Change, error) { return nil, f.err }
 
-// post calls a method with JSON, as curl would.
+// post calls a method with a JSON body and returns the status and the decoded JSON response.
 func post(t testing.TB, h http.Handler, method, body string) (int, map[string]any) {
 	t.Helper()
 	r := httptest.NewRequest(http.MethodPost, PathPrefix+"crocusramp.operator.v1."+method, strings.NewReader(body))
@@ -74,11 +74,11 @@
 		"version": "1",
 	}
 	if status != http.StatusOK || !cmp.Equal(doc, want) {
-		t.Errorf("%d %v", status, cmp.Diff(want, doc))
+		t.Errorf("account: status %d, response (-want +got):\n%v", status, cmp.Diff(want, doc))
 	}
 	status, doc = post(t, h, "Keys/Grant", `{"account":"a"}`)
 	if key, _ := doc["key"].(string); status != http.StatusOK || !strings.HasPrefix(key, "crk_") {
-		t.Errorf("%d %v", status, doc)
+		t.Errorf("key: status %d, response %v, want a key with the prefix crk_", status, doc)
 	}
 }
 
@@ -94,26 +94,26 @@
 		{"conflict", "Accounts/Create", create, &feed.ConflictError{Current: 7}, "aborted", map[string]any{MetaCurrentVersion: "7"}},
 		{"unknown outcome", "Accounts/Create", create, &feed.UnknownError{ID: id, Version: 8, Err: storage.ErrIndeterminate},
 			"unavailable", map[string]any{MetaOutcome: OutcomeUnknown, MetaChangeID: id.String(), MetaVersion: "8"}},
-		{"store down", "Accounts/Create", create, fmt.Errorf("write: %w", storage.ErrUnavailable),
+		{"store unavailable", "Accounts/Create", create, fmt.Errorf("write: %w", storage.ErrUnavailable),
 			"unavailable", map[string]any{MetaOutcome: OutcomeNotRun}},
-		{"other", "Accounts/Create", create, errors.New("boom"), "internal", nil},
-		{"invalid", "Accounts/Create", `{"account":{"name":"a","rate":-1,"burst":5}}`, nil, "invalid_argument", map[string]any{MetaField: "rate"}},
-		{"NaN", "Accounts/Create", `{"account":{"name":"a","rate":"NaN","burst":5}}`, nil, "invalid_argument", map[string]any{MetaField: "rate"}},
-		{"no message", "Accounts/Create", `{}`, nil, "invalid_argument", map[string]any{"argument": "account"}},
+		{"other error", "Accounts/Create", create, errors.New("boom"), "internal", nil},
+		{"negative rate", "Accounts/Create", `{"account":{"name":"a","rate":-1,"burst":5}}`, nil, "invalid_argument", map[string]any{MetaField: "rate"}},
+		{"rate is NaN", "Accounts/Create", `{"account":{"name":"a","rate":"NaN","burst":5}}`, nil, "invalid_argument", map[string]any{MetaField: "rate"}},
+		{"missing message", "Accounts/Create", `{}`, nil, "invalid_argument", map[string]any{"argument": "account"}},
 		{"negative version", "Accounts/Create", `{"account":{"name":"a","rate":1,"burst":5},"expected_version":-1}`, nil,
 			"invalid_argument", map[string]any{"argument": "expected_version"}},
 		{"not found", "Accounts/Delete", `{"name":"x"}`, nil, "not_found", nil},
 		{"not JSON", "Accounts/Create", `{`, nil, "malformed", nil},
-		{"too large", "Accounts/Create", `{"account":{"name":"` + strings.Repeat("a", maxBody) + `"}}`, nil, "malformed", nil},
-		{"no such method", "Accounts/Explode", `{}`, nil, "bad_route", nil},
+		{"body too large", "Accounts/Create", `{"account":{"name":"` + strings.Repeat("a", maxBodyBytes) + `"}}`, nil, "malformed", nil},
+		{"unknown method", "Accounts/Explode", `{}`, nil, "bad_route", nil},
 		{"unknown pool", "Routes/Create", `{"route":{"name":"r","path_prefix":"/x","pool":"regstru","mode":"idempotent","timeout":"1s"}}`, nil,
 			"invalid_argument", map[string]any{MetaField: "pool"}},
 		{"unknown region", "Shifts/Create", `{"shift":{"name":"s","pool":"registru","from":"muntenia","to":"moldavia","cap_percent":1}}`, nil,
 			"invalid_argument", map[string]any{MetaField: "to"}},
 		{"unknown failure domain", "Drains/Create", `{"drain":{"kind":"failure_domain","subject":"x"}}`, nil,
 			"invalid_argument", map[string]any{MetaField: "subject"}},
-		{"no status", "Operations/Status", `{}`, nil, "unavailable", map[string]any{MetaOutcome: OutcomeNotRun}},
-		{"history too long", "Configuration/History", `{"limit":501}`, nil, "invalid_argument", map[string]any{"argument": "limit"}},
+		{"no status source", "Operations/Status", `{}`, nil, "unavailable", map[string]any{MetaOutcome: OutcomeNotRun}},
+		{"history limit too large", "Configuration/History", `{"limit":501}`, nil, "invalid_argument", map[string]any{"argument": "limit"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := NewServer(Config{
@@ -124,12 +124,12 @@
 			}).Handler()
 			status, doc := post(t, h, tc.method, tc.body)
 			if status == http.StatusOK || doc["code"] != tc.code {
-				t.Fatalf("%d %v, want %s", status, doc, tc.code)
+				t.Fatalf("status %d, response %v, want code %s", status, doc, tc.code)
 			}
 			meta, _ := doc["meta"].(map[string]any)
 			for k, v := range tc.meta {
 				if meta[k] != v {
-					t.Errorf("meta %v, want %v", meta, tc.meta)
+					t.Errorf("metadata %v, want %v", meta, tc.meta)
 				}
 			}
 		})
@@ -139,7 +139,7 @@
 func TestNotReady(t *testing.T) {
 	h := NewServer(Config{Feed: &fakeFeed{}}).Handler()
 	if status, doc := post(t, h, "Accounts/List", `{}`); status != http.StatusServiceUnavailable {
-		t.Errorf("%d %v", status, doc)
+		t.Errorf("status %d, response %v, want 503", status, doc)
 	}
 }
 
@@ -156,7 +156,7 @@
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, r)
 		if w.Code == http.StatusInternalServerError {
-			t.Fatalf("%s %s: %s", method, body, w.Body)
+			t.Fatalf("%s with body %s: internal error %s", method, body, w.Body)
 		}
 	})
 }
--- a/pkg/operator/shifts.go
+++ b/pkg/operator/shifts.go
@@ -8,12 +8,13 @@
 )
 
 // shifts implements the Shifts service.
-type shifts struct{ writer }
+type shifts struct{ baseService }
 
 func shiftFrom(m *operatorpb.Shift) config.Shift {
 	return config.Shift{Name: m.Name, Pool: m.Pool, From: m.From, To: m.To, CapPercent: m.CapPercent}
 }
 
+// write creates or updates a shift, depending on edit.
 func (s *shifts) write(ctx context.Context, r *operatorpb.ShiftRequest, edit func(string, config.Shift) *config.Edit[config.Shift]) (*operatorpb.ShiftResponse, error) {
 	if err := required("shift", r.Shift != nil); err != nil {
 		return nil, err
--- a/pkg/operator/status.go
+++ b/pkg/operator/status.go
@@ -5,7 +5,7 @@
 	"crocusramp.dev/crocusramp/pkg/member"
 )
 
-// VMStatus describes VMs in the terms of the API.
+// VMStatus converts VMs to messages of the API.
 func VMStatus(vms []member.Peer) []*operatorpb.VMStatus {
 	var out []*operatorpb.VMStatus
 	for _, p := range vms {
--- a/pkg/operator/token.go
+++ b/pkg/operator/token.go
@@ -11,18 +11,18 @@
 	"github.com/twitchtv/twirp"
 )
 
-// MinTokenBytes is the shortest token that operators should use. Tokens are
-// random, so that one round of SHA-256 cannot be searched.
+// MinTokenBytes is the shortest token that operators should use. Tokens are random, so a single
+// SHA-256 of one cannot be brute-forced.
 const MinTokenBytes = 16
 
-// HashToken returns the hash of an operator's token as settings hold it:
-// SHA-256 in hexadecimal.
+// HashToken returns the hash of an operator's token in the form used in the settings: SHA-256 in
+// hexadecimal.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// CheckTokenHash returns an error where the text is not the hash of a token.
+// CheckTokenHash returns an error if s is not the hash of a token.
 func CheckTokenHash(s string) error {
 	if b, err := hex.DecodeString(s); err != nil || len(b) != sha256.Size {
 		return fmt.Errorf("token hash must be %d hexadecimal digits (SHA-256 of the token)", hex.EncodedLen(sha256.Size))
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// RequireToken returns middleware that admits calls whose bearer token has one
-// of the hashes. A malformed hash admits no token.
+// RequireToken returns middleware that accepts only calls whose bearer token has one of the hashes.
+// Malformed hashes are ignored.
 func RequireToken(hashes []string) func(http.Handler) http.Handler {
 	var accepted [][]byte
 	for _, h := range hashes {
@@ -41,7 +41,7 @@
 	}
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if !holdsToken(r, accepted) {
+			if !hasAcceptedToken(r, accepted) {
 				_ = twirp.WriteError(w, twirp.NewError(twirp.Unauthenticated, "a valid operator token is required"))
 				return
 			}
@@ -50,8 +50,9 @@
 	}
 }
 
-// holdsToken compares against every hash, in constant time.
-func holdsToken(r *http.Request, accepted [][]byte) bool {
+// hasAcceptedToken reports whether the request's bearer token has one of the accepted hashes. It
+// compares the token against every hash in constant time.
+func hasAcceptedToken(r *http.Request, accepted [][]byte) bool {
 	scheme, token, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
 		return false
--- a/pkg/operator/writer.go
+++ b/pkg/operator/writer.go
@@ -14,37 +14,38 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// The metadata of errors.
+// Metadata keys and values of errors.
 const (
-	// MetaCurrentVersion holds the present version on aborted calls.
+	// MetaCurrentVersion holds the current version of the configuration in aborted errors.
 	MetaCurrentVersion = "current_version"
-	// MetaOutcome is OutcomeNotRun or OutcomeUnknown on unavailable calls.
+	// MetaOutcome holds OutcomeNotRun or OutcomeUnknown in unavailable errors.
 	MetaOutcome = "outcome"
-	// MetaChangeID and MetaVersion name a change whose outcome is unknown.
+	// MetaChangeID and MetaVersion identify a change whose outcome is unknown.
 	MetaChangeID = "change_id"
 	MetaVersion  = "version"
-	// MetaField names the field of an invalid argument.
+	// MetaField holds the name of the invalid field in invalid_argument errors.
 	MetaField = "field"
 
 	OutcomeNotRun  = "not_run"
 	OutcomeUnknown = "unknown"
 )
 
-// writer is what the services share.
-type writer struct {
+// baseService is embedded in all services. It reads and changes the configuration.
+type baseService struct {
 	cfg Config
 }
 
 // snapshot returns the configuration in force on this VM.
-func (w *writer) snapshot() (*config.Config, error) {
+func (w *baseService) snapshot() (*config.Config, error) {
 	if !w.cfg.Feed.Ready() {
 		return nil, unavailable(errors.New("this VM has no configuration yet"))
 	}
 	return w.cfg.Feed.Snapshot().Config, nil
 }
 
-// propose makes one change from the newest configuration.
-func (w *writer) propose(ctx context.Context, expected int64, build func(*config.Config) (config.Action, error)) (int64, error) {
+// propose proposes the change that build returns for the newest configuration, and returns the new
+// version. expected is the version that the change must be made from, 0 for any.
+func (w *baseService) propose(ctx context.Context, expected int64, build func(*config.Config) (config.Action, error)) (int64, error) {
 	if expected < 0 {
 		return 0, twirp.InvalidArgumentError("expected_version", "must not be negative")
 	}
@@ -68,13 +69,13 @@
 	return version, nil
 }
 
-// put makes a change that does not depend on the configuration.
-func (w *writer) put(ctx context.Context, expected int64, a config.Action) (int64, error) {
+// put proposes a change that does not depend on the current configuration.
+func (w *baseService) put(ctx context.Context, expected int64, a config.Action) (int64, error) {
 	return w.propose(ctx, expected, func(*config.Config) (config.Action, error) { return a, nil })
 }
 
-// remove makes a change that deletes an entity.
-func (w *writer) remove(ctx context.Context, expected int64, a config.Action) (*operatorpb.DeleteResponse, error) {
+// remove proposes a change that deletes an entity.
+func (w *baseService) remove(ctx context.Context, expected int64, a config.Action) (*operatorpb.DeleteResponse, error) {
 	version, err := w.put(ctx, expected, a)
 	if err != nil {
 		return nil, err
@@ -82,7 +83,8 @@
 	return &operatorpb.DeleteResponse{Version: version}, nil
 }
 
-// toTwirp gives an error the code of the operators' API.
+// toTwirp converts an error to a Twirp error with the code and metadata of the operators' API. Keys
+// are redacted from its text.
 func toTwirp(err error) error {
 	var conflict *feed.ConflictError
 	var unknown *feed.UnknownError
@@ -114,12 +116,12 @@
 	}
 }
 
-// unavailable reports a call that changed nothing.
+// unavailable returns an unavailable error for a call that changed nothing.
 func unavailable(err error) error {
 	return twirp.NewError(twirp.Unavailable, err.Error()).WithMeta(MetaOutcome, OutcomeNotRun)
 }
 
-// required refuses a call that lacks its message.
+// required returns an invalid_argument error unless the message field is present.
 func required(field string, present bool) error {
 	if present {
 		return nil
@@ -127,7 +129,7 @@
 	return twirp.RequiredArgumentError(field)
 }
 
-// find returns the entity of that name, or a not_found error.
+// find returns the entity with the given name, or a not_found error.
 func find[T any](entities map[string]*T, kind config.Kind, name string) (*T, error) {
 	v := entities[name]
 	if v == nil {
