--- a/pkg/cli/account.go
+++ b/pkg/cli/account.go
@@ -6,9 +6,9 @@
 	operatorpb "crocusramp.dev/crocusramp/api/operator/v1"
 )
 
-// expect is the option of every command that changes the configuration.
-type expect struct {
-	Version int64 `arg:"--expect-version" placeholder:"N" help:"refuse unless the configuration is at this version"`
+// expectOption is embedded in every command that changes the configuration.
+type expectOption struct {
+	ExpectedVersion int64 `arg:"--expect-version" placeholder:"N" help:"refuse unless the configuration is at this version"`
 }
 
 type accountCommands struct {
@@ -24,18 +24,18 @@
 	Rate   float64 `arg:"--rate,required" help:"requests a second over the whole fleet"`
 	Burst  float64 `arg:"--burst,required" help:"requests that may come at once"`
 	Weight int32   `arg:"--weight" default:"1" help:"part of the capacity under contention"`
-	expect
+	expectOption
 }
 
 func (a *accountCreate) run(ctx context.Context, c *client) (*result, error) {
 	resp, err := c.accounts.Create(ctx, &operatorpb.CreateAccountRequest{
 		Account:         &operatorpb.Account{Name: a.Name, Rate: a.Rate, Burst: a.Burst, Weight: a.Weight},
-		ExpectedVersion: a.Version,
+		ExpectedVersion: a.ExpectedVersion,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return done(resp, "account %q created, version %d", a.Name, resp.Version), nil
+	return lineResult(resp, "account %q created, version %d", a.Name, resp.Version), nil
 }
 
 type accountList struct{}
@@ -45,13 +45,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return listing(resp, accountGrid(resp.Accounts...)), nil
+	return tableResult(resp, accountTable(resp.Accounts...)), nil
 }
 
-func accountGrid(accounts ...*operatorpb.Account) *grid {
-	g := newGrid("name", "rate", "burst", "weight")
+func accountTable(accounts ...*operatorpb.Account) *textTable {
+	g := newTextTable("name", "rate", "burst", "weight")
 	for _, a := range accounts {
-		g.add(a.Name, number(a.Rate), number(a.Burst), a.Weight)
+		g.addRow(a.Name, formatNumber(a.Rate), formatNumber(a.Burst), a.Weight)
 	}
 	return g
 }
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return listing(resp, accountGrid(resp.Account)), nil
+	return tableResult(resp, accountTable(resp.Account)), nil
 }
 
 type accountUpdate struct {
@@ -73,30 +73,30 @@
 	Rate   *float64 `arg:"--rate" help:"requests a second over the whole fleet"`
 	Burst  *float64 `arg:"--burst" help:"requests that may come at once"`
 	Weight *int32   `arg:"--weight" help:"part of the capacity under contention"`
-	expect
+	expectOption
 }
 
 func (a *accountUpdate) run(ctx context.Context, c *client) (*result, error) {
 	resp, err := c.accounts.Update(ctx, &operatorpb.UpdateAccountRequest{
-		Name: a.Name, Rate: a.Rate, Burst: a.Burst, Weight: a.Weight, ExpectedVersion: a.Version,
+		Name: a.Name, Rate: a.Rate, Burst: a.Burst, Weight: a.Weight, ExpectedVersion: a.ExpectedVersion,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return done(resp, "account %q updated, version %d", a.Name, resp.Version), nil
+	return lineResult(resp, "account %q updated, version %d", a.Name, resp.Version), nil
 }
 
 type accountDelete struct {
 	Name string `arg:"positional,required"`
-	expect
+	expectOption
 }
 
 func (a *accountDelete) run(ctx context.Context, c *client) (*result, error) {
-	resp, err := c.accounts.Delete(ctx, &operatorpb.DeleteRequest{Name: a.Name, ExpectedVersion: a.Version})
+	resp, err := c.accounts.Delete(ctx, &operatorpb.DeleteRequest{Name: a.Name, ExpectedVersion: a.ExpectedVersion})
 	if err != nil {
 		return nil, err
 	}
-	return done(resp, "account %q deleted, version %d", a.Name, resp.Version), nil
+	return lineResult(resp, "account %q deleted, version %d", a.Name, resp.Version), nil
 }
 
 type limitCommands struct {
@@ -108,19 +108,19 @@
 	Account string   `arg:"positional,required"`
 	Rate    *float64 `arg:"--rate" help:"requests a second over the whole fleet"`
 	Burst   *float64 `arg:"--burst" help:"requests that may come at once"`
-	expect
+	expectOption
 }
 
 func (l *limitSet) run(ctx context.Context, c *client) (*result, error) {
 	resp, err := c.limits.Set(ctx, &operatorpb.SetLimitRequest{
-		Account: l.Account, Rate: l.Rate, Burst: l.Burst, ExpectedVersion: l.Version,
+		Account: l.Account, Rate: l.Rate, Burst: l.Burst, ExpectedVersion: l.ExpectedVersion,
 	})
 	if err != nil {
 		return nil, err
 	}
 	a := resp.Account
-	return done(resp, "limit of %q set to rate %s, burst %s, version %d",
-		a.Name, number(a.Rate), number(a.Burst), resp.Version), nil
+	return lineResult(resp, "limit of %q set to rate %s, burst %s, version %d",
+		a.Name, formatNumber(a.Rate), formatNumber(a.Burst), resp.Version), nil
 }
 
 type limitList struct{}
@@ -130,9 +130,9 @@
 	if err != nil {
 		return nil, err
 	}
-	g := newGrid("account", "rate", "burst")
+	g := newTextTable("account", "rate", "burst")
 	for _, l := range resp.Limits {
-		g.add(l.Account, number(l.Rate), number(l.Burst))
+		g.addRow(l.Account, formatNumber(l.Rate), formatNumber(l.Burst))
 	}
-	return listing(resp, g), nil
+	return tableResult(resp, g), nil
 }
--- a/pkg/cli/cli.go
+++ b/pkg/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the operators' command line: it turns arguments into calls of
-// the operators' API and their answers into tables or JSON.
+// Package cli implements the operators' command line. It turns arguments into calls of the
+// operators' API and prints the responses as tables or JSON.
 package cli
 
 import (
@@ -21,7 +21,7 @@
 	"crocusramp.dev/crocusramp/pkg/operator"
 )
 
-// The exit statuses.
+// Exit statuses.
 const (
 	ExitOK      = 0
 	ExitFailure = 1
@@ -29,18 +29,18 @@
 )
 
 const (
-	// DefaultServer is the operators' API of a daemon on this machine.
+	// DefaultServer is the URL of the operators' API of a daemon on this machine.
 	DefaultServer = "http://127.0.0.1:7070"
-	// EnvServer and EnvToken name the environment variables that stand in
-	// for --server and --token.
+	// EnvServer and EnvToken are the environment variables that set the defaults of --server and
+	// --token.
 	EnvServer = "CROCUSRAMP_SERVER"
 	EnvToken  = "CROCUSRAMP_TOKEN"
 
 	callTimeout = 20 * time.Second
 )
 
-// options are the arguments of the program. The fields with subcommands come
-// first, so that the help lists them in this order.
+// options are the arguments of the program. The help lists the subcommands in the order of their
+// fields.
 type options struct {
 	Account *accountCommands `arg:"subcommand:account" help:"client accounts"`
 	Key     *keyCommands     `arg:"subcommand:key" help:"keys of client accounts"`
@@ -67,8 +67,8 @@
 	run(ctx context.Context, c *client) (*result, error)
 }
 
-// Run executes one command line, without the program's name, and returns the
-// exit status. Results go to stdout, errors to stderr.
+// Run executes a command line and returns the exit status. args does not include the program name.
+// Results are written to stdout and errors to stderr.
 func Run(args []string, stdout, stderr io.Writer, env func(string) string) int {
 	var o options
 	parser, err := arg.NewParser(arg.Config{Program: "crocusramp", IgnoreEnv: true}, &o)
@@ -81,11 +81,11 @@
 		return ExitOK
 	}
 	if err != nil {
-		return fail(stderr, ExitUsage, fmt.Errorf("%w: %s", err, seeHelp(parser.SubcommandNames())))
+		return fail(stderr, ExitUsage, fmt.Errorf("%w: %s", err, helpHint(parser.SubcommandNames())))
 	}
 	cmd, ok := parser.Subcommand().(command)
 	if !ok {
-		return fail(stderr, ExitUsage, errors.New("a command is missing: "+seeHelp(parser.SubcommandNames())))
+		return fail(stderr, ExitUsage, errors.New("a command is missing: "+helpHint(parser.SubcommandNames())))
 	}
 	c, err := newClient(o, env)
 	if err != nil {
@@ -100,17 +100,17 @@
 	return ExitOK
 }
 
-// seeHelp names the command line that shows the help of a subcommand.
-func seeHelp(subcommand []string) string {
+// helpHint returns a hint to the command line that prints the help of a subcommand.
+func helpHint(subcommand []string) string {
 	words := append([]string{"see crocusramp"}, subcommand...)
 	return strings.Join(append(words, "--help"), " ")
 }
 
-// execute runs the command once, or again and again if it watches.
+// execute runs the command once, or periodically if it has a refresh period.
 func execute(ctx context.Context, cmd command, c *client, p printer) error {
-	w, ok := cmd.(watcher)
-	if ok && w.watch() > 0 {
-		return watch(ctx, cmd, c, p, w.watch())
+	w, ok := cmd.(watchable)
+	if ok && w.refreshPeriod() > 0 {
+		return watch(ctx, cmd, c, p, w.refreshPeriod())
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -121,14 +121,15 @@
 	return p.print(r)
 }
 
-// fail prints one line, whatever the error holds.
+// fail prints the error on one line and returns the status. Control characters in the error, such as
+// line breaks, are replaced by spaces.
 func fail(stderr io.Writer, status int, err error) int {
 	line := strings.Join(strings.FieldsFunc(err.Error(), func(r rune) bool { return r < ' ' }), " ")
 	fmt.Fprintf(stderr, "crocusramp: %s\n", line)
 	return status
 }
 
-// explain turns an error of a call into what an operator needs to know.
+// explain turns the error of a call into a message for the operator.
 func explain(err error, server string) error {
 	var te twirp.Error
 	if !errors.As(err, &te) {
@@ -150,17 +151,19 @@
 	return errors.New(te.Msg())
 }
 
-// newClient resolves server and token from arguments and environment.
+// newClient returns a client for the server and token from the arguments, the environment or the
+// defaults, in this order.
 func newClient(o options, env func(string) string) (*client, error) {
-	server := first(o.Server, env(EnvServer), DefaultServer)
+	server := firstNonEmpty(o.Server, env(EnvServer), DefaultServer)
 	u, err := url.Parse(server)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
 		return nil, fmt.Errorf("--server %q must be a URL such as %s", server, DefaultServer)
 	}
-	return connect(server, first(o.Token, env(EnvToken)), &http.Client{}), nil
+	return clientFor(server, firstNonEmpty(o.Token, env(EnvToken)), &http.Client{}), nil
 }
 
-func first(values ...string) string {
+// firstNonEmpty returns the first value that is not empty, or "".
+func firstNonEmpty(values ...string) string {
 	for _, v := range values {
 		if v != "" {
 			return v
--- a/pkg/cli/cli_test.go
+++ b/pkg/cli/cli_test.go
@@ -17,7 +17,7 @@
 	"crocusramp.dev/crocusramp/pkg/operator"
 )
 
-// fakeFeed is a configuration in memory.
+// fakeFeed is an in-memory configuration with its history.
 type fakeFeed struct {
 	mu      sync.Mutex
 	config  *config.Config
@@ -64,7 +64,7 @@
 	return out, nil
 }
 
-// newServer serves the operators' API on loopback.
+// newServer starts a test server of the operators' API and returns its URL. wrap may add middleware.
 func newServer(t testing.TB, cfg operator.Config, wrap func(http.Handler) http.Handler) string {
 	if cfg.Feed == nil {
 		cfg.Feed = &fakeFeed{config: config.Empty()}
@@ -78,8 +78,8 @@
 	return s.URL
 }
 
-// call runs one command line against the server.
-func call(server string, args ...string) (status int, stdout, stderr string) {
+// runCLI runs one command line against the server.
+func runCLI(server string, args ...string) (status int, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	env := func(name string) string {
 		if name == EnvServer {
@@ -118,15 +118,15 @@
 		{"--help", ExitOK, ""},
 		{"key grant --help", ExitOK, ""},
 	} {
-		status, stdout, stderr := call(server, strings.Fields(tc.args)...)
+		status, stdout, stderr := runCLI(server, strings.Fields(tc.args)...)
 		if status != tc.status || !strings.Contains(stderr, tc.stderr) {
-			t.Errorf("%q: status %d, stderr %q", tc.args, status, stderr)
+			t.Errorf("%q: unexpected exit status %d or stderr %q", tc.args, status, stderr)
 		}
 		if (status == ExitOK) != (stderr == "") || strings.Count(stderr, "\n") > 1 {
-			t.Errorf("%q: stderr %q", tc.args, stderr)
+			t.Errorf("%q: stderr %q, want nothing on success and one line on failure", tc.args, stderr)
 		}
 		if status != ExitOK && stdout != "" {
-			t.Errorf("%q: stdout %q", tc.args, stdout)
+			t.Errorf("%q: failed, but stdout is %q", tc.args, stdout)
 		}
 	}
 }
@@ -134,13 +134,13 @@
 func TestToken(t *testing.T) {
 	const token = "a token of enough length"
 	server := newServer(t, operator.Config{}, operator.RequireToken([]string{operator.HashToken(token)}))
-	if status, _, stderr := call(server, "account", "list"); status != ExitFailure || !strings.Contains(stderr, "token") {
-		t.Errorf("without token: %d %q", status, stderr)
+	if status, _, stderr := runCLI(server, "account", "list"); status != ExitFailure || !strings.Contains(stderr, "token") {
+		t.Errorf("without token: exit status %d, stderr %q", status, stderr)
 	}
-	if status, _, _ := call(server, "account", "list", "--token", "another"); status != ExitFailure {
-		t.Errorf("wrong token: %d", status)
+	if status, _, _ := runCLI(server, "account", "list", "--token", "another"); status != ExitFailure {
+		t.Errorf("wrong token: exit status %d", status)
 	}
-	if status, _, stderr := call(server, "account", "list", "--token", token); status != ExitOK {
-		t.Errorf("token: %d %q", status, stderr)
+	if status, _, stderr := runCLI(server, "account", "list", "--token", token); status != ExitOK {
+		t.Errorf("valid token: exit status %d, stderr %q", status, stderr)
 	}
 }
--- a/pkg/cli/client.go
+++ b/pkg/cli/client.go
@@ -6,7 +6,7 @@
 	operatorpb "crocusramp.dev/crocusramp/api/operator/v1"
 )
 
-// client reaches all services of the operators' API on one server.
+// client holds clients for all services of the operators' API on one server.
 type client struct {
 	server        string
 	accounts      operatorpb.Accounts
@@ -19,10 +19,10 @@
 	operations    operatorpb.Operations
 }
 
-// connect returns a client that shows the token with each call, if not empty.
-func connect(server, token string, h *http.Client) *client {
+// clientFor returns a client for the server. Unless the token is empty, each call sends it.
+func clientFor(server, token string, h *http.Client) *client {
 	if token != "" {
-		h.Transport = bearer{token: token, next: http.DefaultTransport}
+		h.Transport = bearerTransport{token: token, next: http.DefaultTransport}
 	}
 	return &client{
 		server:        server,
@@ -37,14 +37,14 @@
 	}
 }
 
-// bearer adds the operator's token to requests.
-type bearer struct {
+// bearerTransport adds the operator's token to requests.
+type bearerTransport struct {
 	token string
 	next  http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
-func (b bearer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (b bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Authorization", "Bearer "+b.token)
 	return b.next.RoundTrip(r)
--- a/pkg/cli/config.go
+++ b/pkg/cli/config.go
@@ -24,11 +24,11 @@
 	if err != nil {
 		return nil, err
 	}
-	g := newGrid("version", "time", "operation", "kind", "name", "value")
+	g := newTextTable("version", "time", "operation", "kind", "name", "value")
 	for _, e := range resp.Entries {
-		g.add(e.Version, e.Time.AsTime().Format(time.RFC3339), e.Operation, e.Kind, e.Name, e.Value)
+		g.addRow(e.Version, e.Time.AsTime().Format(time.RFC3339), e.Operation, e.Kind, e.Name, e.Value)
 	}
-	return listing(resp, g), nil
+	return tableResult(resp, g), nil
 }
 
 type configShow struct{}
@@ -40,16 +40,16 @@
 	}
 	return &result{message: resp, text: func(w io.Writer) {
 		fmt.Fprintf(w, "version %d\n", resp.Version)
-		section(w, "accounts", accountGrid(resp.Accounts...))
-		section(w, "keys", keyGrid(resp.Keys))
-		section(w, "routes", routeGrid(resp.Routes...))
-		section(w, "shifts", shiftGrid(resp.Shifts...))
-		section(w, "drains", drainGrid(resp.Drains...))
+		printSection(w, "accounts", accountTable(resp.Accounts...))
+		printSection(w, "keys", keyTable(resp.Keys))
+		printSection(w, "routes", routeTable(resp.Routes...))
+		printSection(w, "shifts", shiftTable(resp.Shifts...))
+		printSection(w, "drains", drainTable(resp.Drains...))
 	}}, nil
 }
 
-// section prints a titled table; an empty one is left out.
-func section(w io.Writer, title string, g *grid) {
+// printSection prints a table with a title. It prints nothing if the table has no rows.
+func printSection(w io.Writer, title string, g *textTable) {
 	if len(g.rows) == 0 {
 		return
 	}
--- a/pkg/cli/drain.go
+++ b/pkg/cli/drain.go
@@ -13,30 +13,30 @@
 	Delete *drainDelete `arg:"subcommand:delete" help:"end a drain"`
 }
 
-// drainKind is what a drain empties, with hyphens on the command line.
+// drainKind is the kind of a drain. On the command line it is written with hyphens.
 type drainKind string
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (k *drainKind) UnmarshalText(text []byte) error {
-	return choose((*string)(k), string(text), "region", "failure-domain", "target", "vm")
+	return parseChoice((*string)(k), string(text), "region", "failure-domain", "target", "vm")
 }
 
 type drainCreate struct {
 	Kind    drainKind `arg:"positional,required" help:"region, failure-domain, target or vm"`
 	Subject string    `arg:"positional,required" help:"name of the region or failure domain, ID of the target or VM"`
 	Name    string    `arg:"--name" help:"name of the drain [default: KIND-SUBJECT]"`
-	expect
+	expectOption
 }
 
 func (d *drainCreate) run(ctx context.Context, c *client) (*result, error) {
 	resp, err := c.drains.Create(ctx, &operatorpb.DrainRequest{
 		Drain:           &operatorpb.Drain{Name: d.Name, Kind: string(d.Kind), Subject: d.Subject},
-		ExpectedVersion: d.Version,
+		ExpectedVersion: d.ExpectedVersion,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return done(resp, "drain %q created, version %d", resp.Drain.Name, resp.Version), nil
+	return lineResult(resp, "drain %q created, version %d", resp.Drain.Name, resp.Version), nil
 }
 
 type drainList struct{}
@@ -46,13 +46,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return listing(resp, drainGrid(resp.Drains...)), nil
+	return tableResult(resp, drainTable(resp.Drains...)), nil
 }
 
-func drainGrid(drains ...*operatorpb.Drain) *grid {
-	g := newGrid("name", "kind", "subject")
+func drainTable(drains ...*operatorpb.Drain) *textTable {
+	g := newTextTable("name", "kind", "subject")
 	for _, d := range drains {
-		g.add(d.Name, d.Kind, d.Subject)
+		g.addRow(d.Name, d.Kind, d.Subject)
 	}
 	return g
 }
@@ -66,18 +66,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return listing(resp, drainGrid(resp.Drain)), nil
+	return tableResult(resp, drainTable(resp.Drain)), nil
 }
 
 type drainDelete struct {
 	Name string `arg:"positional,required"`
-	expect
+	expectOption
 }
 
 func (d *drainDelete) run(ctx context.Context, c *client) (*result, error) {
-	resp, err := c.drains.Delete(ctx, &operatorpb.DeleteRequest{Name: d.Name, ExpectedVersion: d.Version})
+	resp, err := c.drains.Delete(ctx, &operatorpb.DeleteRequest{Name: d.Name, ExpectedVersion: d.ExpectedVersion})
 	if err != nil {
 		return nil, err
 	}
-	return done(resp, "drain %q deleted, version %d", d.Name, resp.Version), nil
+	return lineResult(resp, "drain %q deleted, version %d", d.Name, resp.Version), nil
 }
--- a/pkg/cli/golden_test.go
+++ b/pkg/cli/golden_test.go
@@ -19,7 +19,7 @@
 	"crocusramp.dev/crocusramp/pkg/operator"
 )
 
-// fixedStatus is the state of a small fleet.
+// fixedStatus returns the constant status of a small fleet.
 type fixedStatus struct{}
 
 func (fixedStatus) Status(context.Context) (*operatorpb.StatusResponse, error) {
@@ -47,8 +47,8 @@
 	}, nil
 }
 
-// session is a whole session of an operator.
-var session = [][]string{
+// sessionCommands are the command lines of a typical operator's session.
+var sessionCommands = [][]string{
 	{"account", "create", "Moara Prahova", "--rate", "100", "--burst", "20"},
 	{"account", "create", "Țesătoria Iași", "--rate", "0.5", "--burst", "5", "--weight", "2"},
 	{"account", "create", "Moara Prahova", "--rate", "1", "--burst", "1"},
@@ -84,32 +84,33 @@
 }
 
 var (
-	keyText = regexp.MustCompile(`crk_[a-z2-7]{16}_[a-z2-7]{52}`)
-	keyID   = regexp.MustCompile(`\b[a-z2-7]{16}\b`)
-	created = regexp.MustCompile(`20\d\d-\d\d-\d\dT\d\d:\d\d:\d\dZ`)
+	keyText   = regexp.MustCompile(`crk_[a-z2-7]{16}_[a-z2-7]{52}`)
+	keyID     = regexp.MustCompile(`\b[a-z2-7]{16}\b`)
+	timestamp = regexp.MustCompile(`20\d\d-\d\d-\d\dT\d\d:\d\d:\d\dZ`)
 )
 
 func TestGoldenSession(t *testing.T) {
 	server := newServer(t, operator.Config{Status: fixedStatus{}}, nil)
 	var out bytes.Buffer
-	for _, args := range session {
-		status, stdout, stderr := call(server, args...)
+	for _, args := range sessionCommands {
+		status, stdout, stderr := runCLI(server, args...)
 		fmt.Fprintf(&out, "$ crocusramp %s\n%s%s", strings.Join(args, " "), stdout, stderr)
 		if status != ExitOK {
 			fmt.Fprintf(&out, "[exit status %d]\n", status)
 		}
 		out.WriteByte('\n')
 	}
-	// Keys and times differ from run to run; their places must not. The IDs
-	// keep their order of appearance, lists are ordered by ID.
+	// Keys, their IDs and times differ between runs, so placeholders replace them. The golden file
+	// still checks where they appear. An ID's placeholder is as long as an ID, so that the columns
+	// of tables stay aligned.
 	text := keyText.ReplaceAll(out.Bytes(), []byte("KEY"))
 	text = keyID.ReplaceAll(text, []byte("AN-ID-OF-A-KEY--"))
-	text = created.ReplaceAll(text, []byte("2030-01-01T00:00:00Z"))
+	text = timestamp.ReplaceAll(text, []byte("2030-01-01T00:00:00Z"))
 	goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, "session", sortKeys(text))
 }
 
-// sortKeys puts adjacent lines of keys in order of their account, since the
-// order by random ID differs from run to run.
+// sortKeys sorts adjacent lines of keys by account. The command sorts them by their random IDs, so
+// their order differs between runs.
 func sortKeys(text []byte) []byte {
 	lines := strings.Split(string(text), "\n")
 	for i := 1; i < len(lines); i++ {
@@ -121,35 +122,36 @@
 	return []byte(strings.Join(lines, "\n"))
 }
 
-// Every command prints one JSON document with --json.
+// TestJSONOnEveryCommand checks that every successful command of the session prints exactly one JSON
+// document with --json.
 func TestJSONOnEveryCommand(t *testing.T) {
 	server := newServer(t, operator.Config{Status: fixedStatus{}}, nil)
-	for _, args := range session {
-		status, stdout, _ := call(server, append(args, "--json")...)
+	for _, args := range sessionCommands {
+		status, stdout, _ := runCLI(server, append(args, "--json")...)
 		if status != ExitOK {
 			continue
 		}
 		d := json.NewDecoder(strings.NewReader(stdout))
 		var doc map[string]any
 		if err := d.Decode(&doc); err != nil || d.More() {
-			t.Errorf("%v: %v: %s", args, err, stdout)
+			t.Errorf("%v: not one JSON document: %v: %s", args, err, stdout)
 		}
 		if args[0] == "key" && args[1] == "grant" && (doc["id"] == nil || doc["key"] == nil) {
-			t.Errorf("%v: %s", args, stdout)
+			t.Errorf("%v: id or key is missing: %s", args, stdout)
 		}
 	}
 }
 
-// No key gets into the log, the history, a listing or an error, even where an
-// operator pastes one in the wrong place.
+// TestNoKeyLeaks checks that no key appears in the log, the history, a list, an error or the stored
+// configuration, even if an operator pastes one in the wrong place.
 func TestNoKeyLeaks(t *testing.T) {
 	var log bytes.Buffer
 	f := &fakeFeed{config: config.Empty()}
 	server := newServer(t, operator.Config{
 		Feed: f, Status: fixedStatus{}, Log: zerolog.New(zerolog.SyncWriter(&log)).Level(zerolog.TraceLevel),
 	}, nil)
-	call(server, "account", "create", "a", "--rate", "1", "--burst", "1")
-	_, stdout, _ := call(server, "key", "grant", "a", "--json")
+	runCLI(server, "account", "create", "a", "--rate", "1", "--burst", "1")
+	_, stdout, _ := runCLI(server, "key", "grant", "a", "--json")
 	var granted struct{ ID, Key string }
 	if err := json.Unmarshal([]byte(stdout), &granted); err != nil {
 		t.Fatal(err)
@@ -168,7 +170,7 @@
 		{"config", "history", "--json"}, {"config", "show", "--json"},
 		{"key", "withdraw", granted.ID},
 	} {
-		_, stdout, stderr := call(server, args...)
+		_, stdout, stderr := runCLI(server, args...)
 		output.WriteString(stdout + stderr)
 	}
 	snapshot, err := f.config.Encode()
@@ -177,7 +179,7 @@
 	}
 	for name, text := range map[string]string{"log": log.String(), "output": output.String(), "configuration": string(snapshot)} {
 		if strings.Contains(text, secret) || text == "" {
-			t.Errorf("the %s holds the secret or is empty:\n%s", name, text)
+			t.Errorf("the %s contains the secret or is empty:\n%s", name, text)
 		}
 	}
 }
--- a/pkg/cli/key.go
+++ b/pkg/cli/key.go
@@ -17,11 +17,11 @@
 
 type keyGrant struct {
 	Account string `arg:"positional,required"`
-	expect
+	expectOption
 }
 
 func (k *keyGrant) run(ctx context.Context, c *client) (*result, error) {
-	resp, err := c.keys.Grant(ctx, &operatorpb.GrantKeyRequest{Account: k.Account, ExpectedVersion: k.Version})
+	resp, err := c.keys.Grant(ctx, &operatorpb.GrantKeyRequest{Account: k.Account, ExpectedVersion: k.ExpectedVersion})
 	if err != nil {
 		return nil, err
 	}
@@ -33,15 +33,15 @@
 
 type keyWithdraw struct {
 	ID string `arg:"positional,required"`
-	expect
+	expectOption
 }
 
 func (k *keyWithdraw) run(ctx context.Context, c *client) (*result, error) {
-	resp, err := c.keys.Withdraw(ctx, &operatorpb.WithdrawKeyRequest{Id: k.ID, ExpectedVersion: k.Version})
+	resp, err := c.keys.Withdraw(ctx, &operatorpb.WithdrawKeyRequest{Id: k.ID, ExpectedVersion: k.ExpectedVersion})
 	if err != nil {
 		return nil, err
 	}
-	return done(resp, "key %s withdrawn, version %d", k.ID, resp.Version), nil
+	return lineResult(resp, "key %s withdrawn, version %d", k.ID, resp.Version), nil
 }
 
 type keyList struct {
@@ -53,13 +53,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return listing(resp, keyGrid(resp.Keys)), nil
+	return tableResult(resp, keyTable(resp.Keys)), nil
 }
 
-func keyGrid(keys []*operatorpb.Key) *grid {
-	g := newGrid("id", "account", "created")
+func keyTable(keys []*operatorpb.Key) *textTable {
+	g := newTextTable("id", "account", "created")
 	for _, k := range keys {
-		g.add(k.Id, k.Account, k.Created.AsTime().Format(time.RFC3339))
+		g.addRow(k.Id, k.Account, k.Created.AsTime().Format(time.RFC3339))
 	}
 	return g
 }
--- a/pkg/cli/print.go
+++ b/pkg/cli/print.go
@@ -14,28 +14,28 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// clearScreen moves the cursor home and clears a terminal.
+// clearScreen moves the cursor to the top left and clears the terminal.
 const clearScreen = "\x1b[H\x1b[2J"
 
-// result is the answer to a command.
+// result is the output of a command.
 type result struct {
 	// message is what --json prints.
 	message proto.Message
-	// text is what is printed otherwise.
+	// text prints the result without --json.
 	text func(w io.Writer)
 }
 
-// done is the result of a write, of which text needs one line only.
-func done(message proto.Message, format string, a ...any) *result {
+// lineResult returns the result of a change, whose text is one formatted line.
+func lineResult(message proto.Message, format string, a ...any) *result {
 	return &result{message: message, text: func(w io.Writer) { fmt.Fprintf(w, format+"\n", a...) }}
 }
 
-// listing is the result of a read that is shown as one table.
-func listing(message proto.Message, t *grid) *result {
+// tableResult returns the result of a query, whose text is one table.
+func tableResult(message proto.Message, t *textTable) *result {
 	return &result{message: message, text: t.render}
 }
 
-// printer writes results.
+// printer prints results to out, as text or JSON.
 type printer struct {
 	out  io.Writer
 	json bool
@@ -50,7 +50,8 @@
 	if err != nil {
 		return fmt.Errorf("encode answer: %w", err)
 	}
-	// protojson varies its spacing on purpose; scripts compare output.
+	// protojson deliberately varies its spacing. Scripts compare the output, so the JSON is indented
+	// again.
 	var buf bytes.Buffer
 	if err := json.Indent(&buf, data, "", "  "); err != nil {
 		return fmt.Errorf("encode answer: %w", err)
@@ -60,23 +61,23 @@
 	return err
 }
 
-// grid is a table under construction.
-type grid struct {
+// textTable is a table to print.
+type textTable struct {
 	header table.Row
 	rows   []table.Row
 }
 
-func newGrid(columns ...string) *grid {
-	g := &grid{}
+func newTextTable(columns ...string) *textTable {
+	g := &textTable{}
 	for _, c := range columns {
 		g.header = append(g.header, c)
 	}
 	return g
 }
 
-func (g *grid) add(cells ...any) { g.rows = append(g.rows, cells) }
+func (g *textTable) addRow(cells ...any) { g.rows = append(g.rows, cells) }
 
-func (g *grid) render(w io.Writer) {
+func (g *textTable) render(w io.Writer) {
 	t := table.NewWriter()
 	t.SetOutputMirror(w)
 	t.SetStyle(table.StyleDefault)
@@ -89,16 +90,16 @@
 	t.Render()
 }
 
-// number prints a float as short as it can be read back.
-func number(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+// formatNumber formats a float with the fewest digits that identify it exactly, without an exponent.
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
-// watcher is a command that can refresh its result.
-type watcher interface {
-	// watch returns the period, 0 to run once.
-	watch() time.Duration
+// watchable is a command that can be run periodically.
+type watchable interface {
+	// refreshPeriod returns the period, or 0 to run the command once.
+	refreshPeriod() time.Duration
 }
 
-// watch runs the command until ctx ends. A failed call ends it too.
+// watch runs the command and prints its result once per period, until ctx ends or a call fails.
 func watch(ctx context.Context, cmd command, c *client, p printer, period time.Duration) error {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
--- a/pkg/cli/route.go
+++ b/pkg/cli/route.go
@@ -20,12 +20,12 @@
 	Delete *routeDelete `arg:"subcommand:delete" help:"delete a route"`
 }
 
-// mode is a route's mode, with hyphens on the command line.
+// mode is a route's mode. On the command line it is written with hyphens.
 type mode string
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (m *mode) UnmarshalText(text []byte) error {
-	return choose((*string)(m), string(text), "idempotent", "at-most-once")
+	return parseChoice((*string)(m), string(text), "idempotent", "at-most-once")
 }
 
 // priority is a route's priority.
@@ -33,11 +33,12 @@
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (p *priority) UnmarshalText(text []byte) error {
-	return choose((*string)(p), string(text), "high", "normal", "low")
+	return parseChoice((*string)(p), string(text), "high", "normal", "low")
 }
 
-// choose stores the API's spelling of one of the choices.
-func choose(field *string, text string, choices ...string) error {
+// parseChoice stores text in field if it is one of the choices. The choices have hyphens, and the
+// stored value has underscores as in the API. Both are accepted in text.
+func parseChoice(field *string, text string, choices ...string) error {
 	text = strings.ReplaceAll(text, "_", "-")
 	if !slices.Contains(choices, text) {
 		return fmt.Errorf("%q must be one of %s", text, strings.Join(choices, ", "))
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// routeFields are the arguments that make a route.
+// routeFields are the arguments that define a route.
 type routeFields struct {
 	Name     string        `arg:"positional,required"`
 	Path     string        `arg:"--path,required" help:"path prefix; the longest match wins"`
@@ -56,7 +57,7 @@
 	Timeout  time.Duration `arg:"--timeout" default:"30s" help:"bound from arrival to answer"`
 	Open     bool          `arg:"--open" help:"needs no key"`
 	Methods  []string      `arg:"--method,separate" placeholder:"METHOD" help:"HTTP method; may be repeated; none means all"`
-	expect
+	expectOption
 }
 
 func (r *routeFields) request() *operatorpb.RouteRequest {
@@ -71,7 +72,7 @@
 			Open:       r.Open,
 			Methods:    r.Methods,
 		},
-		ExpectedVersion: r.Version,
+		ExpectedVersion: r.ExpectedVersion,
 	}
 }
 
@@ -82,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return done(resp, "route %q created, version %d", r.Name, resp.Version), nil
+	return lineResult(resp, "route %q created, version %d", r.Name, resp.Version), nil
 }
 
 type routeUpdate struct{ routeFields }
@@ -92,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return done(resp, "route %q updated, version %d", r.Name, resp.Version), nil
+	return lineResult(resp, "route %q updated, version %d", r.Name, resp.Version), nil
 }
 
 type routeList struct{}
@@ -102,14 +103,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return listing(resp, routeGrid(resp.Routes...)), nil
+	return tableResult(resp, routeTable(resp.Routes...)), nil
 }
 
-func routeGrid(routes ...*operatorpb.Route) *grid {
-	g := newGrid("name", "path", "methods", "pool", "mode", "priority", "timeout", "open")
+func routeTable(routes ...*operatorpb.Route) *textTable {
+	g := newTextTable("name", "path", "methods", "pool", "mode", "priority", "timeout", "open")
 	for _, r := range routes {
 		methods := strings.Join(r.Methods, ",")
-		g.add(r.Name, r.PathPrefix, first(methods, "all"), r.Pool, r.Mode, r.Priority, r.Timeout.AsDuration(), r.Open)
+		g.addRow(r.Name, r.PathPrefix, firstNonEmpty(methods, "all"), r.Pool, r.Mode, r.Priority, r.Timeout.AsDuration(), r.Open)
 	}
 	return g
 }
@@ -123,18 +124,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return listing(resp, routeGrid(resp.Route)), nil
+	return tableResult(resp, routeTable(resp.Route)), nil
 }
 
 type routeDelete struct {
 	Name string `arg:"positional,required"`
-	expect
+	expectOption
 }
 
 func (r *routeDelete) run(ctx context.Context, c *client) (*result, error) {
-	resp, err := c.routes.Delete(ctx, &operatorpb.DeleteRequest{Name: r.Name, ExpectedVersion: r.Version})
+	resp, err := c.routes.Delete(ctx, &operatorpb.DeleteRequest{Name: r.Name, ExpectedVersion: r.ExpectedVersion})
 	if err != nil {
 		return nil, err
 	}
-	return done(resp, "route %q deleted, version %d", r.Name, resp.Version), nil
+	return lineResult(resp, "route %q deleted, version %d", r.Name, resp.Version), nil
 }
--- a/pkg/cli/shift.go
+++ b/pkg/cli/shift.go
@@ -14,20 +14,20 @@
 	Delete *shiftDelete `arg:"subcommand:delete" help:"delete a traffic shift"`
 }
 
-// shiftFields are the arguments that make a shift.
+// shiftFields are the arguments that define a shift.
 type shiftFields struct {
 	Name string  `arg:"positional,required"`
 	Pool string  `arg:"--pool,required" help:"pool of targets"`
 	From string  `arg:"--from,required" help:"region that traffic leaves"`
 	To   string  `arg:"--to,required" help:"region that traffic moves to"`
 	Cap  float64 `arg:"--cap,required" help:"largest part that moves, in percent"`
-	expect
+	expectOption
 }
 
 func (s *shiftFields) request() *operatorpb.ShiftRequest {
 	return &operatorpb.ShiftRequest{
 		Shift:           &operatorpb.Shift{Name: s.Name, Pool: s.Pool, From: s.From, To: s.To, CapPercent: s.Cap},
-		ExpectedVersion: s.Version,
+		ExpectedVersion: s.ExpectedVersion,
 	}
 }
 
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return done(resp, "shift %q created, version %d", s.Name, resp.Version), nil
+	return lineResult(resp, "shift %q created, version %d", s.Name, resp.Version), nil
 }
 
 type shiftUpdate struct{ shiftFields }
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return done(resp, "shift %q updated, version %d", s.Name, resp.Version), nil
+	return lineResult(resp, "shift %q updated, version %d", s.Name, resp.Version), nil
 }
 
 type shiftList struct{}
@@ -58,13 +58,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return listing(resp, shiftGrid(resp.Shifts...)), nil
+	return tableResult(resp, shiftTable(resp.Shifts...)), nil
 }
 
-func shiftGrid(shifts ...*operatorpb.Shift) *grid {
-	g := newGrid("name", "pool", "from", "to", "cap %")
+func shiftTable(shifts ...*operatorpb.Shift) *textTable {
+	g := newTextTable("name", "pool", "from", "to", "cap %")
 	for _, s := range shifts {
-		g.add(s.Name, s.Pool, s.From, s.To, number(s.CapPercent))
+		g.addRow(s.Name, s.Pool, s.From, s.To, formatNumber(s.CapPercent))
 	}
 	return g
 }
@@ -78,18 +78,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return listing(resp, shiftGrid(resp.Shift)), nil
+	return tableResult(resp, shiftTable(resp.Shift)), nil
 }
 
 type shiftDelete struct {
 	Name string `arg:"positional,required"`
-	expect
+	expectOption
 }
 
 func (s *shiftDelete) run(ctx context.Context, c *client) (*result, error) {
-	resp, err := c.shifts.Delete(ctx, &operatorpb.DeleteRequest{Name: s.Name, ExpectedVersion: s.Version})
+	resp, err := c.shifts.Delete(ctx, &operatorpb.DeleteRequest{Name: s.Name, ExpectedVersion: s.ExpectedVersion})
 	if err != nil {
 		return nil, err
 	}
-	return done(resp, "shift %q deleted, version %d", s.Name, resp.Version), nil
+	return lineResult(resp, "shift %q deleted, version %d", s.Name, resp.Version), nil
 }
--- a/pkg/cli/status.go
+++ b/pkg/cli/status.go
@@ -22,26 +22,26 @@
 	if err != nil {
 		return nil, err
 	}
-	return listing(resp, vmGrid(resp.Vms)), nil
+	return tableResult(resp, vmTable(resp.Vms)), nil
 }
 
-func vmGrid(vms []*operatorpb.VMStatus) *grid {
-	g := newGrid("vm", "region", "failure domain", "state", "config", "slots", "free permits", "callers")
+func vmTable(vms []*operatorpb.VMStatus) *textTable {
+	g := newTextTable("vm", "region", "failure domain", "state", "config", "slots", "free permits", "callers")
 	for _, v := range vms {
-		g.add(v.Id, v.Region, v.FailureDomain, v.State, v.ConfigVersion, v.SlotsHeld, v.FreePermits, v.CallerAddress)
+		g.addRow(v.Id, v.Region, v.FailureDomain, v.State, v.ConfigVersion, v.SlotsHeld, v.FreePermits, v.CallerAddress)
 	}
 	return g
 }
 
-// watchPeriod is how often status --watch refreshes.
+// watchPeriod is the refresh period of status --watch.
 const watchPeriod = 2 * time.Second
 
 type statusCommand struct {
 	Watch bool `arg:"--watch" help:"refresh every 2 s until interrupted"`
 }
 
-// watch implements watcher.
-func (s *statusCommand) watch() time.Duration {
+// refreshPeriod implements watchable.
+func (s *statusCommand) refreshPeriod() time.Duration {
 	if s.Watch {
 		return watchPeriod
 	}
@@ -60,58 +60,60 @@
 	config, store := r.GetConfig(), r.GetStore()
 	fmt.Fprintf(w, "vm      %s\n", r.Vm)
 	fmt.Fprintf(w, "config  version %d, %s, age %s, relay %s\n", config.GetVersion(),
-		choice(config.GetFresh(), "fresh", "STALE"), age(config.GetAge()), first(config.GetRelay(), "none"))
+		either(config.GetFresh(), "fresh", "STALE"), formatAge(config.GetAge()), firstNonEmpty(config.GetRelay(), "none"))
 	fmt.Fprintf(w, "store   table %s, last answer %s ago\n",
-		choice(store.GetTableReachable(), "reachable", "UNREACHABLE"), age(store.GetSinceAnswer()))
-	section(w, "vms", vmGrid(r.Vms))
-	section(w, "regions", regionGrid(r.Regions))
-	section(w, "accounts", accountStatusGrid(r.Accounts))
-	section(w, "leaving targets", targetGrid(r.LeavingTargets))
-	section(w, "shifts", shiftStatusGrid(r.Shifts))
+		either(store.GetTableReachable(), "reachable", "UNREACHABLE"), formatAge(store.GetSinceAnswer()))
+	printSection(w, "vms", vmTable(r.Vms))
+	printSection(w, "regions", regionTable(r.Regions))
+	printSection(w, "accounts", accountStatusTable(r.Accounts))
+	printSection(w, "leaving targets", targetTable(r.LeavingTargets))
+	printSection(w, "shifts", shiftStatusTable(r.Shifts))
 }
 
-func choice(b bool, yes, no string) string {
+// either returns yes if b is true, else no.
+func either(b bool, yes, no string) string {
 	if b {
 		return yes
 	}
 	return no
 }
 
-func age(d *durationpb.Duration) string {
+// formatAge formats a duration rounded to milliseconds, or returns "unknown" if it is not set.
+func formatAge(d *durationpb.Duration) string {
 	if d == nil {
 		return "unknown"
 	}
 	return d.AsDuration().Round(time.Millisecond).String()
 }
 
-func regionGrid(regions []*operatorpb.RegionStatus) *grid {
-	g := newGrid("region", "pool", "permits", "in use", "queued", "headroom")
+func regionTable(regions []*operatorpb.RegionStatus) *textTable {
+	g := newTextTable("region", "pool", "permits", "in use", "queued", "headroom")
 	for _, r := range regions {
-		g.add(r.Name, r.Pool, r.Permits, r.InUse, r.Queued, r.Permits-r.InUse)
+		g.addRow(r.Name, r.Pool, r.Permits, r.InUse, r.Queued, r.Permits-r.InUse)
 	}
 	return g
 }
 
-func accountStatusGrid(accounts []*operatorpb.AccountStatus) *grid {
-	g := newGrid("account", "rate", "share here", "admitted", "refused")
+func accountStatusTable(accounts []*operatorpb.AccountStatus) *textTable {
+	g := newTextTable("account", "rate", "share here", "admitted", "refused")
 	for _, a := range accounts {
-		g.add(a.Name, number(a.Rate), number(a.Share), a.Admitted, a.Refused)
+		g.addRow(a.Name, formatNumber(a.Rate), formatNumber(a.Share), a.Admitted, a.Refused)
 	}
 	return g
 }
 
-func targetGrid(targets []*operatorpb.TargetStatus) *grid {
-	g := newGrid("target", "pool", "region", "in use")
+func targetTable(targets []*operatorpb.TargetStatus) *textTable {
+	g := newTextTable("target", "pool", "region", "in use")
 	for _, t := range targets {
-		g.add(t.Id, t.Pool, t.Region, t.InUse)
+		g.addRow(t.Id, t.Pool, t.Region, t.InUse)
 	}
 	return g
 }
 
-func shiftStatusGrid(shifts []*operatorpb.ShiftStatus) *grid {
-	g := newGrid("shift", "pool", "from", "to", "cap %", "actual %", "seen", "moved")
+func shiftStatusTable(shifts []*operatorpb.ShiftStatus) *textTable {
+	g := newTextTable("shift", "pool", "from", "to", "cap %", "actual %", "seen", "moved")
 	for _, s := range shifts {
-		g.add(s.Name, s.Pool, s.From, s.To, number(s.CapPercent), number(s.ActualPercent), s.Seen, s.Moved)
+		g.addRow(s.Name, s.Pool, s.From, s.To, formatNumber(s.CapPercent), formatNumber(s.ActualPercent), s.Seen, s.Moved)
 	}
 	return g
 }
