--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -14,39 +14,40 @@
 	"crocusramp.dev/crocusramp/pkg/target"
 )
 
-// Defaults of settings that a file may leave out.
+// Defaults of settings that the file may omit.
 const (
-	defaultSlots          = 16
-	defaultServiceTimeout = 2 * time.Second
-	defaultListPoll       = time.Second
-	defaultLease          = 15 * time.Minute
-	defaultLeasePoll      = 2 * time.Second
-	defaultFeedPoll       = 500 * time.Millisecond
-	defaultFreshFor       = 3 * time.Second
-	defaultRelayLease     = 5 * time.Second
-	defaultMaxHeaderBytes = 16 << 10
-	defaultMaxBodyBytes   = 256 << 20
-	defaultHeaderTimeout  = 5 * time.Second
-	defaultMaxDeadline    = 5 * time.Minute
-	defaultLocateTTL      = 5 * time.Second
-	defaultNotice         = 5 * time.Second
-	defaultGrace          = 30 * time.Second
-	// marginDivisor makes the default drift margin 1 % of the lease, far above
+	defaultSlots            = 16
+	defaultDirectoryTimeout = 2 * time.Second
+	defaultDirectoryPoll    = time.Second
+	defaultLease            = 15 * time.Minute
+	defaultLeasePoll        = 2 * time.Second
+	defaultFeedPoll         = 500 * time.Millisecond
+	defaultFreshFor         = 3 * time.Second
+	defaultRelayLease       = 5 * time.Second
+	defaultMaxHeaderBytes   = 16 << 10
+	defaultMaxBodyBytes     = 256 << 20
+	defaultHeaderTimeout    = 5 * time.Second
+	defaultMaxDeadline      = 5 * time.Minute
+	defaultLocateTTL        = 5 * time.Second
+	defaultNotice           = 5 * time.Second
+	defaultGrace            = 30 * time.Second
+	// marginDivisor sets the default margin for clock drift to 1 % of the lease. That is far above
 	// the 500 ppm that a disciplined clock may drift.
 	marginDivisor = 100
 )
 
-// maxSlots bounds the rows that a fleet keeps in the table.
+// maxSlots is the largest number of slots. Each slot is a row of the table.
 const maxSlots = 1 << 16
 
-func orDefault(d *Duration, value time.Duration) {
+// setDefault sets a duration that is zero to value.
+func setDefault(d *Duration, value time.Duration) {
 	if d.Duration == 0 {
 		d.Duration = value
 	}
 }
 
-// complete fills in the defaults.
-func (s *Settings) complete() {
+// setDefaults sets the fields that the file omits to their defaults.
+func (s *Settings) setDefaults() {
 	if s.Slots == 0 {
 		s.Slots = defaultSlots
 	}
@@ -68,31 +69,32 @@
 	if s.Log.Format == "" {
 		s.Log.Format = "json"
 	}
-	orDefault(&s.Platform.Directory.Timeout, defaultServiceTimeout)
-	orDefault(&s.Platform.Directory.Poll, defaultListPoll)
-	orDefault(&s.Lease.Duration, defaultLease)
-	orDefault(&s.Lease.Margin, s.Lease.Duration.Duration/marginDivisor)
-	orDefault(&s.Lease.Poll, defaultLeasePoll)
-	orDefault(&s.Feed.Poll, defaultFeedPoll)
-	orDefault(&s.Feed.FreshFor, defaultFreshFor)
-	orDefault(&s.Feed.RelayLease, defaultRelayLease)
-	orDefault(&s.Callers.HeaderTimeout, defaultHeaderTimeout)
-	orDefault(&s.Callers.MaxDeadline, defaultMaxDeadline)
-	orDefault(&s.Callers.LocateTTL, defaultLocateTTL)
-	orDefault(&s.Stop.Notice, defaultNotice)
-	orDefault(&s.Stop.Grace, defaultGrace)
+	setDefault(&s.Platform.Directory.Timeout, defaultDirectoryTimeout)
+	setDefault(&s.Platform.Directory.Poll, defaultDirectoryPoll)
+	setDefault(&s.Lease.Duration, defaultLease)
+	setDefault(&s.Lease.Margin, s.Lease.Duration.Duration/marginDivisor)
+	setDefault(&s.Lease.Poll, defaultLeasePoll)
+	setDefault(&s.Feed.Poll, defaultFeedPoll)
+	setDefault(&s.Feed.FreshFor, defaultFreshFor)
+	setDefault(&s.Feed.RelayLease, defaultRelayLease)
+	setDefault(&s.Callers.HeaderTimeout, defaultHeaderTimeout)
+	setDefault(&s.Callers.MaxDeadline, defaultMaxDeadline)
+	setDefault(&s.Callers.LocateTTL, defaultLocateTTL)
+	setDefault(&s.Stop.Notice, defaultNotice)
+	setDefault(&s.Stop.Grace, defaultGrace)
 }
 
-// invalid returns an error that names the field.
+// invalid returns an ErrInvalid that names the field.
 func invalid(field, format string, args ...any) error {
 	return fmt.Errorf("%w: %s: %s", ErrInvalid, field, fmt.Sprintf(format, args...))
 }
 
-// walkDurations reports the first duration that did not parse or is negative.
-func walkDurations(v reflect.Value, path string) error {
+// checkDurations returns an error for the first duration in v that could not be parsed or is
+// negative. path is the name of v in the settings.
+func checkDurations(v reflect.Value, path string) error {
 	if d, ok := v.Interface().(Duration); ok {
-		if d.problem != "" {
-			return invalid(path, "%s", d.problem)
+		if d.parseError != "" {
+			return invalid(path, "%s", d.parseError)
 		}
 		if d.Duration < 0 {
 			return invalid(path, "%s is negative", d.Duration)
@@ -101,7 +103,7 @@
 	}
 	if v.Kind() == reflect.Map {
 		for _, key := range v.MapKeys() {
-			if err := walkDurations(v.MapIndex(key), path+"."+key.String()); err != nil {
+			if err := checkDurations(v.MapIndex(key), path+"."+key.String()); err != nil {
 				return err
 			}
 		}
@@ -115,14 +117,14 @@
 		if path != "" {
 			name = path + "." + name
 		}
-		if err := walkDurations(v.Field(i), name); err != nil {
+		if err := checkDurations(v.Field(i), name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Check reports the first value that the daemon cannot run with.
+// Check returns an error for the first invalid value.
 func (s *Settings) Check() error {
 	checks := []func() error{
 		s.checkVM, s.checkBlocks, s.checkAddresses, s.checkPlatform, s.checkPools, s.checkLease,
@@ -183,7 +185,7 @@
 	return nil
 }
 
-// BlockTable returns the table from callers' addresses to regions.
+// BlockTable returns the table that maps callers' addresses to regions.
 func (s *Settings) BlockTable() (*block.Table, error) {
 	blocks := make([]block.Block, 0, len(s.ClientBlocks))
 	for _, b := range s.ClientBlocks {
@@ -312,7 +314,7 @@
 			return invalid(fmt.Sprintf("operators.token_hashes[%d]", i), "not the SHA-256 of a token in hex")
 		}
 	}
-	if len(s.Operator.TokenHashes) == 0 && !loopback(s.Listen.Operators) {
+	if len(s.Operator.TokenHashes) == 0 && !isLoopback(s.Listen.Operators) {
 		return invalid("operators.token_hashes", "missing; required because listen.operators %q is not loopback", s.Listen.Operators)
 	}
 	return nil
@@ -356,7 +358,7 @@
 	return checkURL("traces.endpoint", s.Traces.Endpoint)
 }
 
-// TargetPools returns the pools as the scheduler takes them.
+// TargetPools returns the pools in the scheduler's types.
 func (s *Settings) TargetPools() []target.Pool {
 	pools := make([]target.Pool, 0, len(s.Pools))
 	for _, p := range s.Pools {
--- a/pkg/settings/edge.go
+++ b/pkg/settings/edge.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Edge is the whole file of `crocusrampd edge`: one VM on a platform that holds
-// the configuration and the list of targets.
+// Edge is the settings file of `crocusrampd edge`, which runs one VM on a platform that stores the
+// configuration and the list of targets.
 type Edge struct {
 	VM     VM         `json:"vm"`
 	Listen EdgeListen `json:"listen"`
-	// FailureDomains names the region of each failure domain, targets' included.
+	// FailureDomains maps each failure domain, including those of targets, to its region.
 	FailureDomains map[string]string `json:"failure_domains"`
-	// FirstStart is true only when the whole fleet starts for the first time;
-	// then no earlier process can hold a part of a limit.
+	// FirstStart is true only when the whole fleet starts for the first time. No earlier process
+	// can hold a share of a limit then.
 	FirstStart bool   `json:"first_start"`
 	Store      Store  `json:"store"`
 	Bounds     Bounds `json:"bounds"`
@@ -24,100 +24,100 @@
 // EdgeListen holds the addresses that the daemon listens on, as host:port.
 type EdgeListen struct {
 	Callers string `json:"callers"`
-	// Locate answers which VMs to use.
+	// Locate serves callers' look-ups of VMs.
 	Locate string `json:"locate"`
 	Ready  string `json:"ready"`
 	Peers  string `json:"peers"`
-	// Metrics serves /metrics; empty means nowhere.
+	// Metrics serves /metrics; empty disables it.
 	Metrics string `json:"metrics"`
-	// Operators serves the operators' API, which only shows the configuration here;
-	// empty means nowhere. It asks for no token, so it must be on loopback.
+	// Operators serves the operators' API, which is read-only here; empty disables it. It requires
+	// no token, so it must be a loopback address.
 	Operators string `json:"operators"`
 }
 
 // Store is the platform's metadata store.
 type Store struct {
-	// Address is its host:port.
+	// Address is the store's host:port.
 	Address string `json:"address"`
-	// ReadsPerSecond and WritesPerSecond are what all VMs together may call;
-	// calls beyond are refused. 0 means no limit.
+	// ReadsPerSecond and WritesPerSecond limit the calls of all VMs together. Calls above the
+	// limits are refused. 0 means no limit.
 	ReadsPerSecond  float64 `json:"reads_per_second"`
 	WritesPerSecond float64 `json:"writes_per_second"`
 }
 
-// Bounds are the times and rates that the platform holds the fleet to.
+// Bounds are the times and rates that the platform requires of the fleet.
 type Bounds struct {
-	// Drain is how long a target serves on after it has left; past it the
-	// target must get nothing. 2 s by default.
+	// Drain is how long a target that has left still serves requests. After that it must not
+	// receive any. The default is 2 s.
 	Drain Duration `json:"drain"`
-	// Grace is the time from SIGTERM to SIGKILL, 6 s by default.
+	// Grace is the time from SIGTERM to SIGKILL. The default is 6 s.
 	Grace Duration `json:"grace"`
-	// LocateTTL is the longest time that callers keep a look-up, 5 s by default.
+	// LocateTTL is the longest time that callers may cache a look-up. The default is 5 s.
 	LocateTTL Duration `json:"locate_ttl"`
-	// RepeatRatio, RepeatFloor and RepeatWindow bound the repeats to a pool:
-	// in any window at most ratio x requests + floor. 0.2, 60 and 10 s by default.
+	// RepeatRatio, RepeatFloor and RepeatWindow limit the retries to a pool to ratio x requests +
+	// floor in any window. The defaults are 0.2, 60 and 10 s.
 	RepeatRatio  float64  `json:"repeat_ratio"`
 	RepeatFloor  float64  `json:"repeat_floor"`
 	RepeatWindow Duration `json:"repeat_window"`
-	// QuotaWindow, QuotaOverage and QuotaSlack bound what an account gets: in any
-	// window at most (rate x window + burst) x (1 + overage) + slack. Overage and
-	// slack are used only for requests that come right after a restart. 5 s, 0
-	// and 0 by default.
+	// QuotaWindow, QuotaOverage and QuotaSlack limit the admitted requests of an account to (rate x
+	// window + burst) x (1 + overage) + slack in any window. Overage and slack are used only for
+	// requests that arrive right after a restart. The defaults are 5 s, 0 and 0.
 	QuotaWindow  Duration `json:"quota_window"`
 	QuotaOverage float64  `json:"quota_overage"`
 	QuotaSlack   float64  `json:"quota_slack"`
-	// ColdFactor and ColdSlack bound the requests to a cold target in a second:
-	// at most factor x its cold rate + slack. 1.5 and 5 by default.
+	// ColdFactor and ColdSlack limit the requests to a cold target to factor x its cold rate +
+	// slack in any second. The defaults are 1.5 and 5.
 	ColdFactor float64 `json:"cold_factor"`
 	ColdSlack  float64 `json:"cold_slack"`
 }
 
-// The defaults of Bounds.
+// Defaults of Bounds.
 const (
-	defaultDrain        = 2 * time.Second
-	defaultEdgeGrace    = 6 * time.Second
-	defaultEdgeTTL      = 5 * time.Second
-	defaultRepeatRatio  = 0.2
-	defaultRepeatFloor  = 60
-	defaultRepeatWindow = 10 * time.Second
-	defaultQuotaWindow  = 5 * time.Second
-	defaultColdFactor   = 1.5
-	defaultColdSlack    = 5
+	defaultDrain         = 2 * time.Second
+	defaultEdgeGrace     = 6 * time.Second
+	defaultEdgeLocateTTL = 5 * time.Second
+	defaultRetryRatio    = 0.2
+	defaultRetryFloor    = 60
+	defaultRetryWindow   = 10 * time.Second
+	defaultQuotaWindow   = 5 * time.Second
+	defaultColdFactor    = 1.5
+	defaultColdSlack     = 5
 )
 
-// LoadEdge reads, completes and checks the settings in a file. Every error in
-// the text wraps ErrInvalid and names the field.
+// LoadEdge reads a settings file, sets the defaults and checks the values. Every error wraps
+// ErrInvalid, and the error for an invalid value names the field.
 func LoadEdge(path string) (*Edge, error) { return load(path, ParseEdge) }
 
-// ParseEdge decodes, completes and checks settings.
+// ParseEdge decodes settings, sets the defaults and checks the values.
 func ParseEdge(data []byte) (*Edge, error) {
 	s := &Edge{}
 	if err := decode(data, s); err != nil {
 		return nil, err
 	}
-	s.complete()
+	s.setDefaults()
 	if err := s.check(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-func (s *Edge) complete() {
+// setDefaults sets the fields that the file omits to their defaults.
+func (s *Edge) setDefaults() {
 	b := &s.Bounds
-	orDefault(&b.Drain, defaultDrain)
-	orDefault(&b.Grace, defaultEdgeGrace)
-	orDefault(&b.LocateTTL, defaultEdgeTTL)
-	orDefault(&b.RepeatWindow, defaultRepeatWindow)
-	orDefault(&b.QuotaWindow, defaultQuotaWindow)
+	setDefault(&b.Drain, defaultDrain)
+	setDefault(&b.Grace, defaultEdgeGrace)
+	setDefault(&b.LocateTTL, defaultEdgeLocateTTL)
+	setDefault(&b.RepeatWindow, defaultRetryWindow)
+	setDefault(&b.QuotaWindow, defaultQuotaWindow)
 	for _, f := range []struct {
-		value *float64
-		or    float64
+		value        *float64
+		defaultValue float64
 	}{
-		{&b.RepeatRatio, defaultRepeatRatio}, {&b.RepeatFloor, defaultRepeatFloor},
+		{&b.RepeatRatio, defaultRetryRatio}, {&b.RepeatFloor, defaultRetryFloor},
 		{&b.ColdFactor, defaultColdFactor}, {&b.ColdSlack, defaultColdSlack},
 	} {
 		if *f.value == 0 {
-			*f.value = f.or
+			*f.value = f.defaultValue
 		}
 	}
 	if s.Log.Level == "" {
@@ -128,6 +128,7 @@
 	}
 }
 
+// check returns an error for the first invalid value.
 func (s *Edge) check() error {
 	for _, f := range []struct{ name, value string }{
 		{"vm.id", s.VM.ID}, {"vm.region", s.VM.Region}, {"vm.failure_domain", s.VM.FailureDomain},
@@ -155,7 +156,7 @@
 			return invalid(f.name, "%q is not host:port", f.value)
 		}
 	}
-	if s.Listen.Operators != "" && !loopback(s.Listen.Operators) {
+	if s.Listen.Operators != "" && !isLoopback(s.Listen.Operators) {
 		return invalid("listen.operators", "%q is not on loopback", s.Listen.Operators)
 	}
 	b := &s.Bounds
@@ -177,8 +178,8 @@
 	return nil
 }
 
-// loopback reports whether an address reaches this machine only.
-func loopback(address string) bool {
+// isLoopback reports whether the host:port has a loopback IP address.
+func isLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return false
--- a/pkg/settings/edge_test.go
+++ b/pkg/settings/edge_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-const goodEdge = `{"vm":{"id":"vm-1","region":"east","failure_domain":"fd-a"},
+const validEdge = `{"vm":{"id":"vm-1","region":"east","failure_domain":"fd-a"},
 "listen":{"callers":"10.0.0.1:80","locate":"10.0.0.1:81","ready":"10.0.0.1:82","peers":"10.0.0.1:83"},
 "failure_domains":{"fd-a":"east","fd-b":"west"},"first_start":true,
 "store":{"address":"10.9.9.9:90","reads_per_second":2000,"writes_per_second":400},
 "bounds":{"drain":"2.5s"}}`
 
 func TestParseEdge(t *testing.T) {
-	s, err := ParseEdge([]byte(goodEdge))
+	s, err := ParseEdge([]byte(validEdge))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Bounds.Drain.Duration != 2500*time.Millisecond || s.Bounds.Grace.Duration != 6*time.Second || s.Bounds.RepeatRatio != 0.2 || s.Log.Level != "info" {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected values or defaults: %+v", s)
 	}
 }
 
@@ -40,18 +40,18 @@
 		{`2000`, `"many"`, "reads_per_second"},
 		{`}}`, `}} {}`, "after the end"},
 	} {
-		_, err := ParseEdge([]byte(strings.Replace(goodEdge, tt.old, tt.new, 1)))
+		_, err := ParseEdge([]byte(strings.Replace(validEdge, tt.old, tt.new, 1)))
 		if !errors.Is(err, ErrInvalid) || !strings.Contains(err.Error(), tt.field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s -> %s: %v, want one line that names %s", tt.old, tt.new, err, tt.field)
+			t.Errorf("%s -> %s: error %v, want ErrInvalid on one line that contains %s", tt.old, tt.new, err, tt.field)
 		}
 	}
 	if _, err := LoadEdge(filepath.Join(t.TempDir(), "none")); !errors.Is(err, ErrInvalid) {
-		t.Errorf("missing file: %v", err)
+		t.Errorf("missing file: error %v, want ErrInvalid", err)
 	}
 }
 
-// TestDeployTemplate: the template that the platform fills in gives valid
-// settings.
+// TestDeployTemplate checks that the settings template, once the platform has filled it in, is
+// valid.
 func TestDeployTemplate(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/settings.json.tmpl")
 	if err != nil {
@@ -67,7 +67,7 @@
 		"{{bounds.budget_min_retries|json}}", "60", "{{bounds.budget_window_s}}", "10", "{{bounds.cold_over|json}}", "1.5", "{{bounds.quota_window_s}}", "5", "{{bounds.quota_overage|json}}", "0.1", "{{bounds.quota_slack|json}}", "20", "{{bounds.cold_slack|json}}", "5",
 	).Replace(string(text))
 	if strings.Contains(filled, "{{") {
-		t.Fatalf("a placeholder is unknown to the test:\n%s", filled)
+		t.Fatalf("the test does not fill in all placeholders:\n%s", filled)
 	}
 	if _, err := ParseEdge([]byte(filled)); err != nil {
 		t.Error(err)
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the static settings of one daemon. What
-// operators change while traffic runs is in package config instead.
+// Package settings reads and checks the static settings of one daemon. The configuration that
+// operators change at run time is in package config.
 package settings
 
 import (
@@ -13,52 +13,54 @@
 	"time"
 )
 
-// ErrInvalid marks every error in the text of the settings.
+// ErrInvalid reports settings that are missing, malformed or have an invalid value.
 var ErrInvalid = errors.New("invalid settings")
 
-// Duration is a length of time with its unit in the text, such as "250ms".
+// Duration is a time.Duration that is encoded with its unit, such as "250ms".
 type Duration struct {
 	time.Duration
-	problem string
+	// parseError is the error text for a value that could not be parsed, or empty.
+	parseError string
 }
 
-// UnmarshalJSON keeps a wrong value for Check, which knows the field's name.
+// UnmarshalJSON implements json.Unmarshaler. It stores the error for a malformed value and returns
+// nil: checkDurations, which knows the name of the field, reports it.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
-		d.problem = fmt.Sprintf("%s is not a duration; write a number with a unit in quotes, such as \"250ms\"", data)
+		d.parseError = fmt.Sprintf("%s is not a duration; write a number with a unit in quotes, such as \"250ms\"", data)
 		return nil
 	}
 	value, err := time.ParseDuration(text)
 	if err != nil {
-		d.problem = fmt.Sprintf("%q is not a duration; write a number with a unit, such as \"250ms\"", text)
+		d.parseError = fmt.Sprintf("%q is not a duration; write a number with a unit, such as \"250ms\"", text)
 		return nil
 	}
-	d.Duration, d.problem = value, ""
+	d.Duration, d.parseError = value, ""
 	return nil
 }
 
-// MarshalJSON writes the duration with its unit.
+// MarshalJSON implements json.Marshaler. It encodes the duration with its unit.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(d.Duration.String()) }
 
-// Settings is the whole file of `crocusrampd serve`.
+// Settings is the settings file of `crocusrampd serve`.
 type Settings struct {
 	VM     VM     `json:"vm"`
 	Listen Listen `json:"listen"`
-	// Advertise is what other processes use to reach this one; each address
-	// defaults to the one in Listen.
+	// Advertise holds the addresses at which other processes reach this one. Each defaults to the
+	// address in Listen.
 	Advertise Advertise `json:"advertise"`
-	// Regions lists every region of the fleet. It must be the same on all VMs:
-	// slots are assigned to regions by their place in it.
+	// Regions lists all regions of the fleet. It must be the same on all VMs, in the same order:
+	// slots are assigned to regions by their index in it.
 	Regions []string `json:"regions"`
-	// RegionCost is the one-way network time from this VM to other regions, by
-	// name. It orders the regions that take a request which finds no room here.
+	// RegionCost is the one-way network delay from this VM to other regions, by name. Requests for
+	// which this region has no capacity go to the other regions in order of this delay.
 	RegionCost map[string]Duration `json:"region_cost"`
-	// Slots is the number of slots that limits are cut into, 16 by default. It
-	// must be the same on all VMs and at least the number of VMs.
+	// Slots is the number of slots that limits are divided into. It must be the same on all VMs and
+	// at least the number of VMs. The default is 16.
 	Slots int `json:"slots"`
-	// ClientBlocks says which region is nearest to which callers, for
-	// /v1/locate. Callers outside all blocks are near the VM that they ask.
+	// ClientBlocks maps callers' addresses to the nearest region, for /v1/locate. The nearest
+	// region to callers outside all blocks is that of the VM that receives the look-up.
 	ClientBlocks []ClientBlock `json:"client_blocks"`
 	Platform     Platform      `json:"platform"`
 	Pools        []Pool        `json:"pools"`
@@ -72,14 +74,14 @@
 	Stop         Stop          `json:"stop"`
 }
 
-// VM says where this daemon runs.
+// VM identifies the VM that this daemon runs on and its location.
 type VM struct {
 	ID            string `json:"id"`
 	Region        string `json:"region"`
 	FailureDomain string `json:"failure_domain"`
 }
 
-// ClientBlock is a prefix of callers' addresses in CIDR notation.
+// ClientBlock assigns a prefix of callers' addresses, in CIDR notation, to the nearest region.
 type ClientBlock struct {
 	Prefix string `json:"prefix"`
 	Region string `json:"region"`
@@ -92,13 +94,13 @@
 	Peers     string `json:"peers"`
 }
 
-// Advertise holds the addresses that others use, as host:port.
+// Advertise holds the addresses that callers and peers connect to, as host:port.
 type Advertise struct {
 	Callers string `json:"callers"`
 	Peers   string `json:"peers"`
 }
 
-// Platform says where the platform's services are.
+// Platform holds the addresses of the platform's services.
 type Platform struct {
 	Store     Store     `json:"store"`
 	Directory Directory `json:"directory"`
@@ -107,88 +109,87 @@
 // Directory is the platform's list of VMs.
 type Directory struct {
 	URL string `json:"url"`
-	// Timeout bounds one call, 2 s by default.
+	// Timeout bounds one call. The default is 2 s.
 	Timeout Duration `json:"timeout"`
-	// Poll is how often the list is read, 1 s by default.
+	// Poll is the period in which the list is read. The default is 1 s.
 	Poll Duration `json:"poll"`
 }
 
 // Pool is a set of interchangeable targets.
 type Pool struct {
 	Name string `json:"name"`
-	// RequireEcho refuses answers that don't carry the request id.
+	// RequireEcho rejects responses that do not contain the request ID.
 	RequireEcho bool     `json:"require_echo"`
 	Targets     []Target `json:"targets"`
 }
 
-// Target is one back end.
+// Target is one server that runs requests.
 type Target struct {
 	ID            string `json:"id"`
 	Address       string `json:"address"`
 	Region        string `json:"region"`
 	FailureDomain string `json:"failure_domain"`
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the target runs concurrently.
 	Slots int `json:"slots"`
-	// Connections is how many connections it accepts from all VMs together.
+	// Connections is how many connections the target accepts from all VMs together.
 	Connections int `json:"connections"`
 }
 
-// Lease sets the lease of slots.
+// Lease configures the leases of slots.
 type Lease struct {
-	// Duration is how long a slot stays with a VM that cannot renew, 15 min by
-	// default. A longer one outlasts longer outages of the table, but leaves
-	// the share of a frozen VM unused for longer.
+	// Duration is how long a VM holds a slot whose lease it cannot renew. A longer duration bridges
+	// longer outages of the table, but leaves the share of a frozen VM unused for longer. The
+	// default is 15 min.
 	Duration Duration `json:"duration"`
-	// Margin covers the drift of clocks over one lease, 1 % of it by default.
+	// Margin allows for clock drift during one lease. The default is 1 % of Duration.
 	Margin Duration `json:"margin"`
-	// Poll is how often the slots are read, 2 s by default. A longer one
-	// delays the takeover of a dead VM's slots.
+	// Poll is the period in which the slots are read. A longer period delays the takeover of a dead
+	// VM's slots. The default is 2 s.
 	Poll Duration `json:"poll"`
 }
 
-// Feed sets how the configuration spreads.
+// Feed configures how the configuration is distributed.
 type Feed struct {
-	// Poll is how often a relay reads the table, 500 ms by default.
+	// Poll is the period in which a relay reads the table. The default is 500 ms.
 	Poll Duration `json:"poll"`
-	// FreshFor is how old the configuration may be for keyed routes, 3 s by
-	// default. It bounds how long a withdrawn key works on a VM that is cut off.
+	// FreshFor is the maximum age of the configuration for keyed routes. It bounds how long an
+	// isolated VM accepts a withdrawn key. The default is 3 s.
 	FreshFor Duration `json:"fresh_for"`
-	// RelayLease is the lease of a failure domain's relay, 5 s by default.
+	// RelayLease is the duration of the lease of a failure domain's relay. The default is 5 s.
 	RelayLease Duration `json:"relay_lease"`
 }
 
-// Callers sets limits on what callers may send.
+// Callers limits what callers may send.
 type Callers struct {
-	// MaxHeaderBytes is 16 KiB by default.
+	// MaxHeaderBytes is the largest size of a request header. The default is 16 KiB.
 	MaxHeaderBytes int `json:"max_header_bytes"`
-	// MaxBodyBytes is 256 MiB by default.
+	// MaxBodyBytes is the largest size of a request body. The default is 256 MiB.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
-	// HeaderTimeout is how long a caller may take to send its headers, 5 s by
-	// default.
+	// HeaderTimeout bounds how long a caller may take to send its headers. The default is 5 s.
 	HeaderTimeout Duration `json:"header_timeout"`
-	// MaxDeadline is the longest deadline, 5 min by default.
+	// MaxDeadline is the longest deadline that a caller may set. The default is 5 min.
 	MaxDeadline Duration `json:"max_deadline"`
-	// LocateTTL is how long callers may keep an answer of /v1/locate, 5 s by
-	// default.
+	// LocateTTL is how long callers may cache a response of /v1/locate. The default is 5 s.
 	LocateTTL Duration `json:"locate_ttl"`
 }
 
-// Operators guards the operators' API.
+// Operators configures access to the operators' API.
 type Operators struct {
-	// TokenHashes holds the SHA-256 of each accepted bearer token, in hex.
-	// Required where the API listens on more than loopback.
+	// TokenHashes holds the SHA-256 of each accepted bearer token, in hex. At least one is required
+	// unless the API listens on a loopback address.
 	TokenHashes []string `json:"token_hashes"`
 }
 
-// TLS names certificate files; an empty field means plain TCP.
+// TLS holds the certificate files. Connections without a certificate file use plain TCP.
 type TLS struct {
 	Operators KeyPair `json:"operators"`
-	// Peers is used in both directions: every VM shows this certificate, and
-	// accepts those signed by CA.
+	// Peers is used for mutual TLS between VMs: each VM presents this certificate and accepts those
+	// signed by the authority in CAFile.
 	Peers KeyPair `json:"peers"`
 }
 
-// KeyPair is a certificate, its key and the authority that peers are checked by.
+// KeyPair holds the files of a certificate, its key and the certificate authority that verifies
+// peers.
 type KeyPair struct {
 	CertFile string `json:"cert_file"`
 	KeyFile  string `json:"key_file"`
@@ -198,44 +199,45 @@
 // Enabled reports whether a certificate is set.
 func (k KeyPair) Enabled() bool { return k.CertFile != "" }
 
-// Log sets the structured log on standard error.
+// Log configures the structured log. `crocusrampd serve` writes it to standard error, `crocusrampd
+// edge` to standard output.
 type Log struct {
-	// Level is debug, info, warn or error; info by default.
+	// Level is debug, info, warn or error. The default is info.
 	Level string `json:"level"`
-	// Format is json or text; json by default.
+	// Format is json or text. The default is json.
 	Format string `json:"format"`
 }
 
-// Traces exports spans; off while Endpoint is empty.
+// Traces configures the export of spans. It is disabled if Endpoint is empty.
 type Traces struct {
 	// Endpoint is the URL of an OTLP collector over HTTP.
 	Endpoint string `json:"endpoint"`
-	// SamplePercent is the part of new traces that is recorded, 0 to 100.
+	// SamplePercent is the percentage of new traces that is recorded, 0 to 100.
 	SamplePercent float64 `json:"sample_percent"`
 }
 
-// Stop sets the graceful shutdown.
+// Stop configures the graceful shutdown.
 type Stop struct {
-	// Notice is how long the VM serves on after a stop was asked for, while
-	// callers' cached answers of /v1/locate still name it; 5 s by default. It
-	// ends early once no request has come for a second.
+	// Notice is how long the VM continues to accept requests after a stop was requested, because
+	// callers' cached responses of /v1/locate still contain it. It ends early once no request has
+	// arrived for a second. The default is 5 s.
 	Notice Duration `json:"notice"`
-	// Grace bounds the wait for running requests after Notice, 30 s by default.
-	// Requests that run longer get a final answer; delivering it takes up to 1 s more.
+	// Grace bounds the wait for running requests after Notice. The caller of a request that runs
+	// longer gets a final response, whose delivery takes up to 1 s more. The default is 30 s.
 	Grace Duration `json:"grace"`
 }
 
-// Load reads, completes and checks the settings in a file. Every error in the
-// text wraps ErrInvalid and names the field.
+// Load reads a settings file, sets the defaults and checks the values. Every error wraps ErrInvalid,
+// and the error for an invalid value names the field.
 func Load(path string) (*Settings, error) { return load(path, Parse) }
 
-// Parse decodes, completes and checks settings.
+// Parse decodes settings, sets the defaults and checks the values.
 func Parse(data []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := decode(data, s); err != nil {
 		return nil, err
 	}
-	s.complete()
+	s.setDefaults()
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
@@ -255,8 +257,8 @@
 	return s, nil
 }
 
-// decode reads settings into the struct that s points to. Unknown fields, text
-// after the end and wrong durations are errors.
+// decode unmarshals settings into the struct that s points to. Unknown fields, text after the end of the
+// JSON object and invalid durations are errors.
 func decode(data []byte, s any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
@@ -266,10 +268,10 @@
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
 		return fmt.Errorf("%w: text after the end of the settings", ErrInvalid)
 	}
-	return walkDurations(reflect.ValueOf(s).Elem(), "")
+	return checkDurations(reflect.ValueOf(s).Elem(), "")
 }
 
-// explain adds the field or line to an error of the JSON decoder.
+// explain adds the field or the line number to an error of the JSON decoder.
 func explain(data []byte, err error) error {
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-const valid = `{
+const validSettings = `{
   "vm": {"id": "vm-1", "region": "north", "failure_domain": "north-a"},
   "listen": {"callers": "127.0.0.1:8080", "operators": "127.0.0.1:7070", "peers": "127.0.0.1:9070"},
   "regions": ["north", "south"],
@@ -24,23 +24,24 @@
   "lease": {"duration": "10m"}
 }`
 
-func TestParseCompletes(t *testing.T) {
-	s, err := Parse([]byte(valid))
+func TestParseSetsDefaults(t *testing.T) {
+	s, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Lease.Duration.Duration != 10*time.Minute || s.Lease.Margin.Duration != 6*time.Second {
-		t.Errorf("lease %v, margin %v", s.Lease.Duration, s.Lease.Margin)
+		t.Errorf("lease %v and margin %v, want 10m and 6s", s.Lease.Duration, s.Lease.Margin)
 	}
 	if s.Advertise.Peers != s.Listen.Peers || s.Slots != defaultSlots {
-		t.Errorf("advertise.peers %q, slots %d", s.Advertise.Peers, s.Slots)
+		t.Errorf("advertise.peers %q and slots %d, want the defaults", s.Advertise.Peers, s.Slots)
 	}
 	if pools := s.TargetPools(); len(pools) != 1 || pools[0].Targets[0].Slots != 9 {
-		t.Errorf("pools %+v", pools)
+		t.Errorf("unexpected pools %+v", pools)
 	}
 }
 
-// TestParseNamesTheField replaces one part of valid settings by a wrong one.
+// TestParseNamesTheField checks that the error for an invalid value contains the name of its field.
+// Each case replaces one part of valid settings with an invalid one.
 func TestParseNamesTheField(t *testing.T) {
 	tests := []struct{ old, new, want string }{
 		{`"regions"`, `"region"`, `unknown field "region"`},
@@ -59,14 +60,14 @@
 		{`"vm"`, "\n\"vm\":,", "line 3"},
 	}
 	for _, tt := range tests {
-		text := strings.Replace(valid, tt.old, tt.new, 1)
+		text := strings.Replace(validSettings, tt.old, tt.new, 1)
 		_, err := Parse([]byte(text))
 		if !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: error %v, want ErrInvalid", tt.new, err)
 			continue
 		}
 		if !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %q does not name %q on one line", tt.new, err, tt.want)
+			t.Errorf("%s: error %q does not contain %q or has several lines", tt.new, err, tt.want)
 		}
 	}
 }
@@ -74,9 +75,9 @@
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	if _, err := Load(path); !errors.Is(err, ErrInvalid) {
-		t.Errorf("missing file: %v", err)
+		t.Errorf("missing file: error %v, want ErrInvalid", err)
 	}
-	if err := os.WriteFile(path, []byte(valid), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validSettings), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path); err != nil {
@@ -84,9 +85,9 @@
 	}
 }
 
-// FuzzParse checks that settings that are taken can be written and read back.
+// FuzzParse checks that settings which Parse accepts can be encoded and parsed again.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(valid))
+	f.Add([]byte(validSettings))
 	f.Add([]byte(`{"lease":{"duration":1}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Parse(data)
@@ -98,7 +99,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Parse(text); err != nil {
-			t.Fatalf("written settings are refused: %v\n%s", err, text)
+			t.Fatalf("encoded settings are rejected: %v\n%s", err, text)
 		}
 	})
 }
