--- a/pkg/telemetry/async.go
+++ b/pkg/telemetry/async.go
@@ -8,18 +8,19 @@
 	"github.com/rs/zerolog/diode"
 )
 
-// asyncLines is how many log lines may wait to be written; more are dropped.
-const asyncLines = 1024
+// asyncBufferLines is the number of log lines that are buffered. Further lines are dropped.
+const asyncBufferLines = 1024
 
-// NewAsyncWriter returns a writer that never blocks. Lines that do not fit are
-// dropped; a line tells how many.
+// NewAsyncWriter returns a writer that buffers log lines and never blocks. Lines that do not fit into
+// the buffer are dropped, and a log line reports their number.
 func NewAsyncWriter(w io.Writer) io.WriteCloser {
-	return diode.NewWriter(w, asyncLines, 0, func(missed int) {
+	return diode.NewWriter(w, asyncBufferLines, 0, func(missed int) {
 		fmt.Fprintf(w, `{"level":"warn","dropped":%d,"message":"log lines were dropped"}`+"\n", missed)
 	})
 }
 
-// NewDecisionLogger returns a logger that writes every event. w must not block.
+// NewDecisionLogger returns a logger that, unlike NewLogger, also writes every repeated event. w must
+// not block.
 func NewDecisionLogger(w io.Writer, cfg LogConfig) (zerolog.Logger, error) {
 	level, err := zerolog.ParseLevel(cfg.Level)
 	if err != nil {
--- a/pkg/telemetry/log.go
+++ b/pkg/telemetry/log.go
@@ -1,5 +1,4 @@
-// Package telemetry sets up what a daemon shows of itself: structured logs,
-// metrics and traces.
+// Package telemetry sets up a daemon's structured logs, metrics and traces.
 package telemetry
 
 import (
@@ -12,27 +11,27 @@
 )
 
 const (
-	// repeatPeriod is the time in which equal log events are counted.
-	repeatPeriod = 10 * time.Second
-	// repeatLimit is how many equal events are written in one period.
-	repeatLimit = 5
-	// maxDistinctMessages bounds the memory for counting.
+	// rateLimitPeriod is the period in which log events of the same level and message are counted.
+	rateLimitPeriod = 10 * time.Second
+	// rateLimitEvents is the largest number of such events that are written in one period.
+	rateLimitEvents = 5
+	// maxDistinctMessages bounds the memory for the counts.
 	maxDistinctMessages = 1024
 )
 
-// LogConfig sets up a logger.
+// LogConfig configures a logger.
 type LogConfig struct {
 	// Level is debug, info, warn or error.
 	Level string
-	// Text writes lines for people in place of JSON.
+	// Text selects human-readable lines instead of JSON.
 	Text bool
 	// VM is added to every event.
 	VM string
 }
 
-// NewLogger returns a logger that writes one event a line to w. Events of the
-// same level and message are dropped past 5 in 10 s; the next one that passes
-// tells how many were dropped.
+// NewLogger returns a logger that writes one event per line to w. Of the events with the same level
+// and message, it writes at most 5 in 10 s and drops the others. The next such event that is
+// written contains the number of dropped ones.
 func NewLogger(w io.Writer, cfg LogConfig) (zerolog.Logger, error) {
 	level, err := zerolog.ParseLevel(cfg.Level)
 	if err != nil {
@@ -41,36 +40,38 @@
 	if cfg.Text {
 		w = textWriter(w)
 	}
-	hook := &repeatHook{now: time.Now, seen: map[repeatKey]*repeatCount{}}
+	hook := &rateLimitHook{now: time.Now, counts: map[eventKey]*eventCount{}}
 	return zerolog.New(w).Level(level).With().Timestamp().Str("vm", cfg.VM).Logger().Hook(hook), nil
 }
 
-// textWriter writes events for people.
+// textWriter returns a writer that formats events as human-readable lines.
 func textWriter(w io.Writer) io.Writer {
 	return zerolog.ConsoleWriter{Out: w, NoColor: true, TimeFormat: time.TimeOnly}
 }
 
-type repeatKey struct {
+// eventKey identifies events that are counted together.
+type eventKey struct {
 	level   zerolog.Level
 	message string
 }
 
-type repeatCount struct {
+// eventCount counts the events of one key since the start of a period.
+type eventCount struct {
 	since   time.Time
 	written int
 	dropped int
 }
 
-// repeatHook limits equal events.
-type repeatHook struct {
-	now  func() time.Time
-	mu   sync.Mutex
-	seen map[repeatKey]*repeatCount
+// rateLimitHook limits the rate of events with the same level and message.
+type rateLimitHook struct {
+	now    func() time.Time
+	mu     sync.Mutex
+	counts map[eventKey]*eventCount
 }
 
-// Run discards the event where its message came too often.
-func (h *repeatHook) Run(e *zerolog.Event, level zerolog.Level, message string) {
-	write, dropped := h.count(repeatKey{level, message})
+// Run implements zerolog.Hook. It discards the event if the limit of the period is reached.
+func (h *rateLimitHook) Run(e *zerolog.Event, level zerolog.Level, message string) {
+	write, dropped := h.count(eventKey{level, message})
 	if !write {
 		e.Discard()
 		return
@@ -80,23 +81,25 @@
 	}
 }
 
-func (h *repeatHook) count(k repeatKey) (write bool, dropped int) {
+// count counts an event. It reports whether to write it and, for the first event of a new period, how
+// many were dropped in the last one.
+func (h *rateLimitHook) count(k eventKey) (write bool, dropped int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	c := h.seen[k]
+	c := h.counts[k]
 	if c == nil {
-		if len(h.seen) >= maxDistinctMessages {
-			clear(h.seen)
+		if len(h.counts) >= maxDistinctMessages {
+			clear(h.counts)
 		}
-		c = &repeatCount{since: now}
-		h.seen[k] = c
+		c = &eventCount{since: now}
+		h.counts[k] = c
 	}
-	if now.Sub(c.since) >= repeatPeriod {
+	if now.Sub(c.since) >= rateLimitPeriod {
 		dropped = c.dropped
-		*c = repeatCount{since: now}
+		*c = eventCount{since: now}
 	}
-	if c.written >= repeatLimit {
+	if c.written >= rateLimitEvents {
 		c.dropped++
 		return false, 0
 	}
--- a/pkg/telemetry/metrics.go
+++ b/pkg/telemetry/metrics.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// histogramMin and histogramMax bound recorded latencies, in microseconds.
+	// histogramMin and histogramMax are the bounds of the recorded latencies, in microseconds.
 	histogramMin = 1
 	histogramMax = 10 * 60 * 1_000_000
-	// histogramDigits gives 1 % precision.
+	// histogramDigits is the number of significant digits: 2 give a precision of 1 %.
 	histogramDigits = 2
 )
 
-// quantiles are written for each histogram.
+// quantiles are the percentiles that are exported for each histogram.
 var quantiles = []float64{50, 90, 99, 99.9}
 
 // Histogram records latencies in microseconds. It is safe for concurrent use.
@@ -30,42 +30,42 @@
 	h  *hdrhistogram.Histogram
 }
 
-// NewHistogram returns an empty histogram.
+// NewHistogram returns an empty Histogram.
 func NewHistogram() *Histogram {
 	return &Histogram{h: hdrhistogram.New(histogramMin, histogramMax, histogramDigits)}
 }
 
-// RegisterQuantiles makes the median and the 99th percentile gauges of a
-// registry, in microseconds, so that its JSON form shows them too.
+// RegisterQuantiles registers the median and the 99th percentile, in microseconds, as gauges, so that
+// they are also in the registry's JSON output.
 func (h *Histogram) RegisterQuantiles(name string, r metrics.Registry) {
 	for suffix, percent := range map[string]float64{"_p50_us": 50, "_p99_us": 99} {
 		metrics.NewRegisteredFunctionalGauge(name+suffix, r, func() int64 { return h.Quantile(percent) })
 	}
 }
 
-// Record adds one latency in microseconds; values out of range are clamped.
+// Record adds a latency in microseconds. Values out of range are clamped.
 func (h *Histogram) Record(microseconds int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_ = h.h.RecordValue(min(max(microseconds, histogramMin), histogramMax))
 }
 
-// Quantile returns the latency in microseconds below which percent lie.
+// Quantile returns the given percentile of the latencies, in microseconds.
 func (h *Histogram) Quantile(percent float64) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.h.ValueAtQuantile(percent)
 }
 
-// Count returns how many latencies were recorded.
+// Count returns the number of recorded latencies.
 func (h *Histogram) Count() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.h.TotalCount()
 }
 
-// Handler serves the registry: in the Prometheus text format, or as JSON with
-// ?format=json.
+// Handler returns a handler that serves the registry and the histograms in the Prometheus text format
+// or, with ?format=json, the registry as JSON.
 func Handler(r metrics.Registry, histograms map[string]*Histogram) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Query().Get("format") == "json" {
@@ -125,6 +125,7 @@
 	}
 }
 
+// writeSummary writes a summary with the quantiles and the count.
 func writeSummary(w io.Writer, name string, count int64, quantile func(percent float64) float64) {
 	fmt.Fprintf(w, "# TYPE %s summary\n", name)
 	for _, q := range quantiles {
@@ -133,7 +134,7 @@
 	fmt.Fprintf(w, "%s_count %d\n", name, count)
 }
 
-// metricName makes a registry name fit the text format.
+// metricName turns a registry name into a valid name in the text format.
 func metricName(name string) string {
 	return "crocusramp_" + strings.Map(func(r rune) rune {
 		switch {
--- a/pkg/telemetry/telemetry_test.go
+++ b/pkg/telemetry/telemetry_test.go
@@ -12,29 +12,29 @@
 	"github.com/rs/zerolog"
 )
 
-func TestLoggerLimitsRepeats(t *testing.T) {
+func TestLoggerLimitsRepeatedEvents(t *testing.T) {
 	now := time.Unix(0, 0)
-	hook := &repeatHook{now: func() time.Time { return now }, seen: map[repeatKey]*repeatCount{}}
+	hook := &rateLimitHook{now: func() time.Time { return now }, counts: map[eventKey]*eventCount{}}
 	var out bytes.Buffer
 	log := zerolog.New(&out).Hook(hook)
-	for range repeatLimit + 3 {
+	for range rateLimitEvents + 3 {
 		log.Info().Msg("the same")
 	}
 	log.Info().Msg("another")
-	if got := strings.Count(out.String(), "\n"); got != repeatLimit+1 {
-		t.Fatalf("%d lines, want %d:\n%s", got, repeatLimit+1, out.String())
+	if got := strings.Count(out.String(), "\n"); got != rateLimitEvents+1 {
+		t.Fatalf("%d lines, want %d:\n%s", got, rateLimitEvents+1, out.String())
 	}
-	now = now.Add(repeatPeriod)
+	now = now.Add(rateLimitPeriod)
 	out.Reset()
 	log.Info().Msg("the same")
 	if !strings.Contains(out.String(), `"repeats_dropped":3`) {
-		t.Errorf("the dropped events are not told: %s", out.String())
+		t.Errorf("the number of dropped events is missing in %s", out.String())
 	}
 }
 
 func TestNewLoggerRefusesUnknownLevel(t *testing.T) {
 	if _, err := NewLogger(&bytes.Buffer{}, LogConfig{Level: "loud"}); err == nil {
-		t.Error("level \"loud\" was taken")
+		t.Error("level \"loud\" was accepted")
 	}
 }
 
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	if _, span := tracer.Start(context.Background(), "x"); span.IsRecording() {
-		t.Error("a span is recorded without an exporter")
+		t.Error("a span is recorded although no endpoint is set")
 	}
 	if err := flush(context.Background()); err != nil {
 		t.Error(err)
--- a/pkg/telemetry/traces.go
+++ b/pkg/telemetry/traces.go
@@ -12,22 +12,22 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// tracerName names this product's spans.
+// tracerName is the instrumentation name of the spans.
 const tracerName = "crocusramp.dev/crocusramp"
 
-// TraceConfig sets up the export of spans.
+// TraceConfig configures the export of spans.
 type TraceConfig struct {
-	// Endpoint is the URL of an OTLP collector over HTTP; empty turns traces off.
+	// Endpoint is the URL of an OTLP collector over HTTP. If it is empty, tracing is disabled.
 	Endpoint string
-	// SamplePercent is the part of new traces that is recorded. Traces that
-	// the caller sampled are always recorded.
+	// SamplePercent is the percentage of new traces that is recorded. Traces that the caller sampled
+	// are always recorded.
 	SamplePercent float64
-	// VM is an attribute of every span.
+	// VM is the ID of the VM, an attribute of every span.
 	VM string
 }
 
-// NewTracer returns a tracer and what flushes it. Without an endpoint the
-// tracer does nothing, at no cost.
+// NewTracer returns a tracer and the function that shuts it down and flushes its spans. Without an
+// endpoint it returns a no-op tracer, which costs nothing.
 func NewTracer(ctx context.Context, cfg TraceConfig) (trace.Tracer, func(context.Context) error, error) {
 	if cfg.Endpoint == "" {
 		return noop.NewTracerProvider().Tracer(tracerName), func(context.Context) error { return nil }, nil
