--- a/api/operator/v1/operator.twirp.go
+++ b/api/operator/v1/operator.twirp.go
@@ -4,10 +4,10 @@
 // The operators' API. Every call is a POST of JSON or protobuf to
 // /twirp/crocusramp.operator.v1.<Service>/<Method>.
 // Errors: already_exists, not_found, invalid_argument, unauthenticated,
-// aborted (the configuration changed meanwhile; meta current_version holds its
-// version), unavailable (the store cannot be asked; meta outcome is "not_run",
-// or "unknown" with change_id and version where the write may have taken
-// effect).
+// aborted (the configuration was changed concurrently or is not at the expected
+// version; the metadata current_version holds its current version), unavailable
+// (the store cannot be reached; the metadata outcome is "not_run", or "unknown"
+// with change_id and version if the write may have taken effect).
 
 package operatorpb
 
@@ -5088,7 +5088,8 @@
 // Shifts Interface
 // ================
 
-// Shifts moves part of a pool's traffic between regions.
+// Shifts manages traffic shifts, which move a part of a pool's traffic from one
+// region to another.
 type Shifts interface {
 	Create(context.Context, *ShiftRequest) (*ShiftResponse, error)
 
@@ -6699,7 +6700,8 @@
 // Drains Interface
 // ================
 
-// Drains keeps new work from a region, failure domain, target or VM.
+// Drains manages drains, which keep new requests from a region, failure domain,
+// target or VM.
 type Drains interface {
 	Create(context.Context, *DrainRequest) (*DrainResponse, error)
 
@@ -8036,7 +8038,7 @@
 	// History lists changes, newest first.
 	History(context.Context, *HistoryRequest) (*HistoryResponse, error)
 
-	// Show returns the configuration in force on the VM asked.
+	// Show returns the configuration in force on the VM that receives the call.
 	Show(context.Context, *ShowRequest) (*ShowResponse, error)
 }
 
@@ -8807,7 +8809,8 @@
 // Operations Interface
 // ====================
 
-// Operations shows the state of the fleet as the VM asked knows it.
+// Operations reports the state of the fleet as seen by the VM that receives the
+// call.
 type Operations interface {
 	Status(context.Context, *StatusRequest) (*StatusResponse, error)
 
