--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -257,8 +257,8 @@
 	return s, nil
 }
 
-// decode unmarshals settings into the struct that s points to. Unknown fields, text after the end of the
-// JSON object and invalid durations are errors.
+// decode unmarshals settings into the struct that s points to. Unknown fields, text after the end of
+// the JSON object and invalid durations are errors.
 func decode(data []byte, s any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
