--- a/pkg/telemetry/log.go
+++ b/pkg/telemetry/log.go
@@ -15,7 +15,7 @@
 	rateLimitPeriod = 10 * time.Second
 	// rateLimitEvents is the largest number of such events that are written in one period.
 	rateLimitEvents = 5
-	// maxDistinctMessages bounds the memory for the counts.
+	// maxDistinctMessages bounds the memory for the counts. At this number they are all reset.
 	maxDistinctMessages = 1024
 )
 
@@ -81,8 +81,8 @@
 	}
 }
 
-// count counts an event. It reports whether to write it and, for the first event of a new period, how
-// many were dropped in the last one.
+// count counts an event. It reports whether to write it and, for the first event of a new period,
+// how many were dropped in the last one.
 func (h *rateLimitHook) count(k eventKey) (write bool, dropped int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/telemetry/metrics.go
+++ b/pkg/telemetry/metrics.go
@@ -35,8 +35,8 @@
 	return &Histogram{h: hdrhistogram.New(histogramMin, histogramMax, histogramDigits)}
 }
 
-// RegisterQuantiles registers the median and the 99th percentile, in microseconds, as gauges, so that
-// they are also in the registry's JSON output.
+// RegisterQuantiles registers the median and the 99th percentile, in microseconds, as gauges, so
+// that they are also in the registry's JSON output.
 func (h *Histogram) RegisterQuantiles(name string, r metrics.Registry) {
 	for suffix, percent := range map[string]float64{"_p50_us": 50, "_p99_us": 99} {
 		metrics.NewRegisteredFunctionalGauge(name+suffix, r, func() int64 { return h.Quantile(percent) })
@@ -64,8 +64,8 @@
 	return h.h.TotalCount()
 }
 
-// Handler returns a handler that serves the registry and the histograms in the Prometheus text format
-// or, with ?format=json, the registry as JSON.
+// Handler returns a handler that serves the registry and the histograms in the Prometheus text
+// format or, with ?format=json, the registry as JSON.
 func Handler(r metrics.Registry, histograms map[string]*Histogram) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Query().Get("format") == "json" {
