--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries the protocol between VMs: twirp services on one
-// listener, and the client side that reaches them by address.
+// Package peer provides the client connections and the TLS settings of the protocol
+// between VMs. On each VM, the protocol's twirp services share one listener.
 package peer
 
 import (
@@ -14,22 +14,24 @@
 )
 
 const (
-	// dialTimeout bounds connecting to a peer; a refused connection fails at once.
+	// dialTimeout bounds the time to connect to a peer; a refused connection fails at
+	// once.
 	dialTimeout = 2 * time.Second
-	// idlePerPeer is the number of idle connections kept to each peer.
-	idlePerPeer = 32
-	// idleTimeout closes connections that are not used.
+	// maxIdlePerPeer is the largest number of idle connections kept per peer.
+	maxIdlePerPeer = 32
+	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = time.Minute
 )
 
-// Credentials are the certificates that VMs show each other.
+// Credentials names the certificate files for mutual TLS between VMs.
 type Credentials struct {
 	CertFile, KeyFile string
-	// CAFile holds the authority that signed every VM's certificate.
+	// CAFile holds the certificate of the CA that signed every VM's certificate.
 	CAFile string
 }
 
-// TLSConfig loads the credentials. The result serves both directions.
+// TLSConfig loads the credentials. The returned config works for both clients and
+// servers.
 func (c Credentials) TLSConfig() (*tls.Config, error) {
 	cert, err := tls.LoadX509KeyPair(c.CertFile, c.KeyFile)
 	if err != nil {
@@ -52,14 +54,14 @@
 	}, nil
 }
 
-// Dialer makes the HTTP clients that twirp clients run on.
+// Dialer connects to peers. Twirp clients use its HTTP client.
 type Dialer struct {
 	client *http.Client
 	scheme string
 	config *tls.Config
 }
 
-// NewDialer returns a Dialer; a nil config means plain TCP.
+// NewDialer returns a Dialer. A nil config means plain TCP.
 func NewDialer(config *tls.Config) *Dialer {
 	d := net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
@@ -67,7 +69,7 @@
 			return d.DialContext(ctx, network, addr)
 		},
 		TLSClientConfig:     config,
-		MaxIdleConnsPerHost: idlePerPeer,
+		MaxIdleConnsPerHost: maxIdlePerPeer,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
@@ -78,20 +80,21 @@
 	return &Dialer{client: &http.Client{Transport: transport}, scheme: scheme, config: config}
 }
 
-// HTTP returns the client for all peers. Calls set deadlines by context.
+// HTTP returns the HTTP client for all peers. It has no timeout: callers set a deadline
+// in the context.
 func (d *Dialer) HTTP() *http.Client { return d.client }
 
 // URL returns the base URL of the peer at host:port addr.
 func (d *Dialer) URL(addr string) string { return d.scheme + "://" + addr }
 
-// DialContext connects to a peer outside of HTTP, for users that keep
-// connections of their own.
+// DialContext connects to a peer, for users that manage their own connections instead of
+// using the HTTP client.
 func (d *Dialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
-	n := &net.Dialer{Timeout: dialTimeout}
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	if d.config == nil {
-		return n.DialContext(ctx, network, addr)
+		return dialer.DialContext(ctx, network, addr)
 	}
-	return (&tls.Dialer{NetDialer: n, Config: d.config}).DialContext(ctx, network, addr)
+	return (&tls.Dialer{NetDialer: dialer, Config: d.config}).DialContext(ctx, network, addr)
 }
 
 // Close closes idle connections.
