--- a/api/peer/v1/config.twirp.go
+++ b/api/peer/v1/config.twirp.go
@@ -31,13 +31,13 @@
 // Config Interface
 // ================
 
-// Config spreads the configuration between VMs.
+// Config distributes the configuration between VMs.
 type Config interface {
-	// Pull answers as soon as the callee has a newer version than the caller,
-	// or when the wait is over.
+	// Pull is a long poll: it returns as soon as the callee has a newer version
+	// than the caller, or after the wait.
 	Pull(context.Context, *PullRequest) (*PullResponse, error)
 
-	// Push hands over changes that were just accepted.
+	// Push sends changes that were just accepted.
 	Push(context.Context, *PushRequest) (*PushResponse, error)
 }
 
--- a/api/peer/v1/limit.twirp.go
+++ b/api/peer/v1/limit.twirp.go
@@ -26,14 +26,14 @@
 // Limit Interface
 // ===============
 
-// Limit moves shares of the client accounts' rate limits between VMs by loans.
+// Limit moves shares of the client accounts' rate limits between VMs as loans.
 // The caller is the borrower, the callee the lender.
 type Limit interface {
-	// Exchange returns, extends and asks for loans, for any number of accounts.
+	// Exchange returns, extends and requests loans for any number of accounts.
 	Exchange(context.Context, *ExchangeRequest) (*ExchangeResponse, error)
 
-	// Holds tells a VM that has restarted whether the callee may still use what
-	// an earlier incarnation of that VM lent.
+	// Holds tells a VM that has restarted whether the callee may still use loans
+	// from an earlier incarnation of that VM.
 	Holds(context.Context, *HoldsRequest) (*HoldsResponse, error)
 }
 
--- a/api/peer/v1/member.twirp.go
+++ b/api/peer/v1/member.twirp.go
@@ -26,9 +26,9 @@
 // Member Interface
 // ================
 
-// Member tells VMs apart and carries their heartbeats.
+// Member identifies VMs and serves their heartbeats.
 type Member interface {
-	// Hello answers with the callee's own identity and load.
+	// Hello is a heartbeat. It returns the callee's identity and load.
 	Hello(context.Context, *HelloRequest) (*HelloResponse, error)
 }
 
--- a/api/peer/v1/request.twirp.go
+++ b/api/peer/v1/request.twirp.go
@@ -26,10 +26,10 @@
 // Request Interface
 // =================
 
-// Request carries what VMs tell each other about requests. The requests
-// themselves are handed over as plain HTTP, with a HandOver in a header.
+// Request carries reports about requests between VMs. The requests themselves
+// are handed over as plain HTTP, with a HandOver message in a header.
 type Request interface {
-	// ReportDeaths tells of targets that died while they ran requests.
+	// ReportDeaths reports targets that died while they ran requests.
 	ReportDeaths(context.Context, *ReportDeathsRequest) (*ReportDeathsResponse, error)
 }
 
