--- a/pkg/daemon/admission.go
+++ b/pkg/daemon/admission.go
@@ -8,16 +8,17 @@
 	"crocusramp.dev/crocusramp/pkg/limit"
 )
 
-// admissions counts a client account's decisions on this VM.
-type admissions struct {
+// admissionCounts holds how many requests of a client account this VM admitted
+// and refused.
+type admissionCounts struct {
 	admitted, refused atomic.Int64
 }
 
-// countingLimiter counts the decisions of a Limiter by client account, for
-// status.
+// countingLimiter counts the decisions of a Limiter per client account. Status
+// reports the counts.
 type countingLimiter struct {
 	limit.Limiter
-	accounts sync.Map // string to *admissions
+	accounts sync.Map // string to *admissionCounts
 }
 
 // Admit implements limit.Limiter.
@@ -31,10 +32,10 @@
 	return d
 }
 
-func (l *countingLimiter) counts(account string) *admissions {
+func (l *countingLimiter) counts(account string) *admissionCounts {
 	if c, ok := l.accounts.Load(account); ok {
-		return c.(*admissions)
+		return c.(*admissionCounts)
 	}
-	c, _ := l.accounts.LoadOrStore(account, &admissions{})
-	return c.(*admissions)
+	c, _ := l.accounts.LoadOrStore(account, &admissionCounts{})
+	return c.(*admissionCounts)
 }
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires the parts of one VM together and runs them from the
-// first listener to the graceful shutdown.
+// Package daemon builds the components of one VM and runs them from binding
+// the listeners to the graceful shutdown.
 package daemon
 
 import (
@@ -36,19 +36,21 @@
 )
 
 const (
-	// idleTimeout closes callers' connections that send nothing.
+	// idleTimeout is how long connections of callers and peers may stay idle
+	// before they are closed.
 	idleTimeout = 2 * time.Minute
-	// quietPeriod without a new request ends the notice of a stop early.
+	// quietPeriod is how long no request may arrive before a stopping VM ends
+	// its notice period early.
 	quietPeriod = time.Second
-	// deliveryTimeout bounds sending the last answers while stopping.
+	// deliveryTimeout bounds the delivery of the last responses while stopping.
 	deliveryTimeout = 500 * time.Millisecond
-	// releaseTimeout bounds giving slots back while stopping; those that were
-	// not given back are freed by their refused peer port.
+	// releaseTimeout bounds the release of slots while stopping. Peers take over
+	// slots that were not released once this VM's peer port refuses connections.
 	releaseTimeout = 3 * time.Second
-	// slotPatience is how long a VM that starts waits for its first slot and for
-	// the heartbeats of its peers before it takes callers.
-	slotPatience = 10 * time.Second
-	// pollPeriod is how often a wait looks at its condition.
+	// slotWaitTimeout is how long a starting VM waits for its first slot and for
+	// heartbeats from its peers before it accepts callers without them.
+	slotWaitTimeout = 10 * time.Second
+	// pollPeriod is the interval at which waits check their condition.
 	pollPeriod = 10 * time.Millisecond
 )
 
@@ -62,24 +64,25 @@
 	tracer   trace.Tracer
 	flush    func(context.Context) error
 
-	loop      *control.Loop
-	dialer    *peer.Dialer
-	table     storage.Table
-	members   *member.Prober
-	leases    *lease.Manager
-	feed      *feed.Feed
-	limiter   *limit.Service
-	admitted  *countingLimiter
-	scheduler *dispatch.Scheduler
-	entry     *entry.Server
-	operators *operator.Server
+	loop           *control.Loop
+	dialer         *peer.Dialer
+	table          storage.Table
+	members        *member.Prober
+	leases         *lease.Manager
+	feed           *feed.Feed
+	limiter        *limit.Service
+	countedLimiter *countingLimiter
+	scheduler      *dispatch.Scheduler
+	entry          *entry.Server
+	operators      *operator.Server
 
 	listeners *listeners
 	servers   servers
 	// cancel ends the control loop at once.
-	cancel  context.CancelFunc
-	leaving atomic.Bool
-	// arrivals counts callers' requests; a stop waits until it rests.
+	cancel   context.CancelFunc
+	stopping atomic.Bool
+	// arrivals counts callers' requests. A stopping VM waits until it no longer
+	// rises.
 	arrivals atomic.Int64
 }
 
@@ -87,8 +90,8 @@
 	callers, operators, peers *http.Server
 }
 
-// New binds the listeners and builds every part; Run starts them. Errors wrap
-// settings.ErrInvalid where the settings are at fault.
+// New binds the listeners and builds all components; Run starts them. Errors
+// caused by the settings wrap settings.ErrInvalid.
 func New(ctx context.Context, s *settings.Settings, log zerolog.Logger) (*Daemon, error) {
 	d := &Daemon{settings: s, log: log, registry: metrics.NewRegistry(), latency: telemetry.NewHistogram(), loop: control.NewLoop()}
 	d.latency.RegisterQuantiles("entry.latency", d.registry)
@@ -106,10 +109,10 @@
 	return d, nil
 }
 
-// Metrics returns the registry that /metrics shows.
+// Metrics returns the registry that /metrics exports.
 func (d *Daemon) Metrics() metrics.Registry { return d.registry }
 
-// PeerAddress returns the host:port that peers reach this VM at.
+// PeerAddress returns the host:port at which peers reach this VM.
 func (d *Daemon) PeerAddress() string { return d.self.PeerAddress }
 
 func (d *Daemon) build(ctx context.Context) error {
@@ -137,7 +140,7 @@
 	return nil
 }
 
-// buildControl builds what the control loop owns.
+// buildControl builds the components that the control loop runs.
 func (d *Daemon) buildControl() {
 	s := d.settings
 	store := platform.NewStore(platform.StoreConfig{
@@ -147,7 +150,7 @@
 	d.table = platform.NewTable(store)
 	d.members = member.NewProber(member.Config{
 		Self: d.self, Directory: directory.New(s.Platform.Directory.URL), Dialer: d.dialer,
-		Loop: d.loop, Clock: clock.System{}, Log: d.log, Local: d.describe,
+		Loop: d.loop, Clock: clock.System{}, Log: d.log, Local: d.describeSelf,
 		ListPeriod: s.Platform.Directory.Poll.Duration,
 	})
 	d.leases = lease.NewManager(lease.Config{
@@ -165,14 +168,14 @@
 	})
 }
 
-// buildTraffic builds what a request passes.
+// buildTraffic builds the components that handle requests.
 func (d *Daemon) buildTraffic() {
 	s := d.settings
 	d.limiter = limit.NewService(limit.Config{
 		Config: d.feed, Slots: d.leases, Members: d.members, Peers: d.dialer,
 		Clock: clock.System{}, Loop: d.loop, Log: d.log, Metrics: d.registry,
 	})
-	d.admitted = &countingLimiter{Limiter: d.limiter}
+	d.countedLimiter = &countingLimiter{Limiter: d.limiter}
 	costs := map[string]time.Duration{}
 	for region, cost := range s.RegionCost {
 		costs[region] = cost.Duration
@@ -181,16 +184,16 @@
 		Pools: s.TargetPools(), Self: d.self, Members: d.members, Slots: d.leases, Config: d.feed,
 		Clock: clock.System{}, Log: d.log, Metrics: d.registry, Regions: s.Regions, RegionCost: costs,
 	})
-	echoed := map[string]bool{}
+	requireEcho := map[string]bool{}
 	for _, p := range s.Pools {
-		echoed[p.Name] = p.RequireEcho
+		requireEcho[p.Name] = p.RequireEcho
 	}
 	blocks, err := s.BlockTable()
 	if err != nil {
-		panic(fmt.Sprintf("daemon: settings were not checked: %v", err))
+		panic(fmt.Sprintf("daemon: settings were not validated: %v", err))
 	}
 	d.entry = entry.NewServer(entry.Config{
-		Config: d.feed, Authenticate: keys.Authenticate, Limiter: d.admitted, Dispatcher: d.scheduler,
+		Config: d.feed, Authenticate: keys.Authenticate, Limiter: d.countedLimiter, Dispatcher: d.scheduler,
 		Members: d.members, Match: route.Match, Homes: d.limiter.Homes, RegionOf: blocks.Lookup, Peers: d.dialer, Table: d.table,
 		Clock: clock.System{}, Log: d.log, Metrics: d.registry, Tracer: d.tracer,
 		Latency: func(l time.Duration) { d.latency.Record(l.Microseconds()) },
@@ -198,7 +201,7 @@
 			MaxHeaderBytes: s.Callers.MaxHeaderBytes, MaxBodyBytes: s.Callers.MaxBodyBytes,
 			MaxTimeout: s.Callers.MaxDeadline.Duration, LocateTTL: s.Callers.LocateTTL.Duration,
 		},
-		RequireEcho: func(pool string) bool { return echoed[pool] },
+		RequireEcho: func(pool string) bool { return requireEcho[pool] },
 	})
 	d.operators = operator.NewServer(operator.Config{
 		Feed: d.feed, Status: d, Places: places(s), Log: d.log, Metrics: d.registry,
@@ -231,11 +234,12 @@
 	return nil
 }
 
-// describe completes what heartbeats say of this VM.
-func (d *Daemon) describe(p *member.Peer) {
+// describeSelf sets the fields of p that this VM reports about itself in
+// heartbeats.
+func (d *Daemon) describeSelf(p *member.Peer) {
 	c := d.feed.Snapshot()
 	vm := d.settings.VM
-	if d.leaving.Load() || c.Drained(config.DrainVM, vm.ID, vm.Region, vm.FailureDomain) {
+	if d.stopping.Load() || c.Drained(config.DrainVM, vm.ID, vm.Region, vm.FailureDomain) {
 		p.State = member.Leaving
 	}
 	p.ConfigVersion = c.Version
@@ -251,7 +255,7 @@
 	mux.HandleFunc("GET /healthz", healthz)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		d.arrivals.Add(1)
-		if d.leaving.Load() {
+		if d.stopping.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
--- a/pkg/daemon/health.go
+++ b/pkg/daemon/health.go
@@ -8,17 +8,18 @@
 // readiness is the body of /readyz.
 type readiness struct {
 	Ready bool `json:"ready"`
-	// Missing names what the daemon still waits for, or why it takes no work.
+	// Missing lists what the daemon still waits for, or why it accepts no
+	// requests.
 	Missing []string `json:"missing,omitempty"`
 }
 
-// healthz answers as long as the process serves HTTP.
+// healthz responds with 200 as long as the process serves HTTP.
 func healthz(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, map[string]bool{"alive": true})
 }
 
-// readyz answers 200 once this VM can serve keyed requests, and 503 with the
-// causes otherwise.
+// readyz responds with 200 if this VM can serve requests with a key, and with
+// 503 and the causes otherwise.
 func (d *Daemon) readyz(w http.ResponseWriter, _ *http.Request) {
 	state := readiness{Missing: d.missing()}
 	state.Ready = len(state.Missing) == 0
@@ -35,10 +36,10 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// missing lists what keeps the daemon from serving keyed requests.
+// missing returns the causes why the daemon cannot serve requests with a key.
 func (d *Daemon) missing() []string {
 	var missing []string
-	if d.leaving.Load() {
+	if d.stopping.Load() {
 		missing = append(missing, "the VM is stopping")
 	}
 	if !d.feed.Ready() {
--- a/pkg/daemon/listen.go
+++ b/pkg/daemon/listen.go
@@ -10,8 +10,9 @@
 	"crocusramp.dev/crocusramp/pkg/settings"
 )
 
-// listeners are bound before anything starts, so that a port in use ends the
-// daemon with an error that names the field.
+// listeners holds the daemon's listeners. They are bound before any component
+// starts, so that a port in use fails the start with an error that names the
+// settings field.
 type listeners struct {
 	callers, operators, peers net.Listener
 }
@@ -37,8 +38,8 @@
 	return l, nil
 }
 
-// advertised returns the address that others use: the configured one, or the
-// bound one where the configured port is 0.
+// advertised returns the address to publish: the configured one, or the bound
+// one if the configured port is 0.
 func advertised(address string, l net.Listener) string {
 	if _, port, err := net.SplitHostPort(address); err != nil || port == "0" {
 		return l.Addr().String()
@@ -54,7 +55,8 @@
 	}
 }
 
-// serve runs an HTTP server on a listener until the server is closed.
+// serve runs an HTTP server on a listener until the server is closed. It sends
+// any other error to failed.
 func serve(server *http.Server, l net.Listener, config *tls.Config, failed chan<- error) {
 	if config != nil {
 		l = tls.NewListener(l, config)
@@ -64,7 +66,8 @@
 	}
 }
 
-// serverTLS loads the certificate of the operators' API, if there is one.
+// serverTLS loads the certificate of the operators' API. It returns nil if none
+// is configured.
 func serverTLS(pair settings.KeyPair) (*tls.Config, error) {
 	if !pair.Enabled() {
 		return nil, nil
--- a/pkg/daemon/main.go
+++ b/pkg/daemon/main.go
@@ -19,7 +19,7 @@
 const (
 	ExitOK      = 0
 	ExitFailure = 1
-	// ExitUsage is for a wrong command line or wrong settings.
+	// ExitUsage reports an invalid command line or invalid settings.
 	ExitUsage = 2
 )
 
@@ -27,7 +27,7 @@
 	Config string `arg:"--config,required" placeholder:"FILE" help:"settings in JSON"`
 }
 
-// DevCommand are the options of `crocusrampd dev`.
+// DevCommand holds the options of `crocusrampd dev`.
 type DevCommand struct {
 	Operators string   `arg:"--operators" default:"127.0.0.1:7070" placeholder:"ADDR" help:"address of the operators' API"`
 	Callers   []string `arg:"--callers" placeholder:"ADDR" help:"callers' addresses, one for each VM [default: 127.0.0.1:8080 127.0.0.1:8081 127.0.0.1:8082]"`
@@ -42,13 +42,13 @@
 	Dev   *DevCommand  `arg:"subcommand:dev" help:"run three VMs, targets and a platform stand-in in one process, for trying things out"`
 }
 
-// EdgeCommand are the options of `crocusrampd edge`.
+// EdgeCommand holds the options of `crocusrampd edge`.
 type EdgeCommand struct {
 	Settings string `arg:"--settings,required" placeholder:"FILE" help:"settings in JSON"`
 	Check    bool   `arg:"--check" help:"check the settings and exit"`
 }
 
-// Commands runs the commands that are not part of this package.
+// Commands holds the implementations of commands from other packages.
 type Commands struct {
 	Dev  func(ctx context.Context, c *DevCommand, stdout, stderr io.Writer) error
 	Edge func(ctx context.Context, c *EdgeCommand, stdout io.Writer) error
@@ -59,8 +59,8 @@
 	return "crocusrampd steers requests from callers to targets."
 }
 
-// Main executes one command line, without the program's name, and returns the
-// exit status.
+// Main runs the command line args, which excludes the program's name, and
+// returns the exit status.
 func Main(args []string, stdout, stderr io.Writer, other Commands) int {
 	var c commands
 	parser, err := arg.NewParser(arg.Config{Program: "crocusrampd", IgnoreEnv: true}, &c)
@@ -118,7 +118,8 @@
 	if err != nil {
 		return fmt.Errorf("%w: log: %w", settings.ErrInvalid, err)
 	}
-	// The default action would cut what a VM serves.
+	// The default action of SIGHUP would end the process and abort the requests
+	// in flight.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -126,7 +127,7 @@
 		for ctx.Err() == nil {
 			select {
 			case <-hangups:
-				log.Warn().Msg("SIGHUP: changed settings take effect at the next start")
+				log.Warn().Msg("SIGHUP ignored; restart the daemon to apply changed settings")
 			case <-ctx.Done():
 			}
 		}
--- a/pkg/daemon/main_test.go
+++ b/pkg/daemon/main_test.go
@@ -31,8 +31,9 @@
 	"crocusramp.dev/crocusramp/platform/standin"
 )
 
-// bound is how long a test waits for what happens within a second.
-const bound = 30 * time.Second
+// waitTimeout bounds how long a test waits for a condition, which normally holds
+// within a second.
+const waitTimeout = 30 * time.Second
 
 type standins struct {
 	platform  settings.Platform
@@ -63,7 +64,7 @@
 	}
 }
 
-func write(t *testing.T, s settings.Settings) string {
+func writeSettings(t *testing.T, s settings.Settings) string {
 	t.Helper()
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -76,9 +77,9 @@
 	return path
 }
 
-// TestMainRefusesInOneLine checks the exit status and the error of command
-// lines and settings that cannot run.
-func TestMainRefusesInOneLine(t *testing.T) {
+// TestMainReportsInvalidInputInOneLine checks that invalid command lines and
+// settings end with the right exit status and an error of one line.
+func TestMainReportsInvalidInputInOneLine(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -102,8 +103,8 @@
 		{"unknown flag", "--nope", []string{"serve", "--nope"}, ExitUsage},
 		{"missing file", "no such file", []string{"serve", "--config", "/nonexistent"}, ExitUsage},
 		{"wrong unit", "lease.duration", []string{"check", "--config", wrongUnit}, ExitUsage},
-		{"port in use", "listen.callers", []string{"serve", "--config", write(t, inUse)}, ExitUsage},
-		{"certificate missing", "tls.operators", []string{"serve", "--config", write(t, noCert)}, ExitUsage},
+		{"port in use", "listen.callers", []string{"serve", "--config", writeSettings(t, inUse)}, ExitUsage},
+		{"certificate missing", "tls.operators", []string{"serve", "--config", writeSettings(t, noCert)}, ExitUsage},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -115,7 +116,7 @@
 		})
 	}
 	var stdout, stderr bytes.Buffer
-	if status := Main([]string{"check", "--config", write(t, s.settings("vm-1"))}, &stdout, &stderr, Commands{}); status != ExitOK {
+	if status := Main([]string{"check", "--config", writeSettings(t, s.settings("vm-1"))}, &stdout, &stderr, Commands{}); status != ExitOK {
 		t.Errorf("check: status %d, %s", status, stderr.String())
 	}
 }
@@ -149,16 +150,16 @@
 
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(bound)
+	deadline := time.Now().Add(waitTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %s: %s", bound, what)
+			t.Fatalf("condition not met within %s: %s", waitTimeout, what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func TestHealthAndReadinessDiffer(t *testing.T) {
+func TestStoppingVMIsAliveButNotReady(t *testing.T) {
 	s := startStandins(t)
 	vm := s.settings("vm-1")
 	vm.Stop.Notice = settings.Duration{Duration: 10 * time.Millisecond}
@@ -172,18 +173,19 @@
 		body, _ := io.ReadAll(r.Body)
 		return r.StatusCode, string(body)
 	}
-	waitFor(t, "ready", func() bool { status, _ := get("/readyz"); return status == http.StatusOK })
-	d.leaving.Store(true)
+	waitFor(t, "the VM is ready", func() bool { status, _ := get("/readyz"); return status == http.StatusOK })
+	d.stopping.Store(true)
 	if status, body := get("/readyz"); status != http.StatusServiceUnavailable || !strings.Contains(body, "stopping") {
-		t.Errorf("/readyz of a stopping VM: %d %s", status, body)
+		t.Errorf("/readyz of a stopping VM: status %d, body %s; want 503 and a body with \"stopping\"", status, body)
 	}
 	if status, _ := get("/healthz"); status != http.StatusOK {
-		t.Errorf("/healthz of a stopping VM: %d", status)
+		t.Errorf("/healthz of a stopping VM: status %d, want 200", status)
 	}
 }
 
-// issue makes a certificate for 127.0.0.1 that is its own authority.
-func issue(t *testing.T, dir string) settings.KeyPair {
+// issueSelfSigned writes a self-signed certificate for 127.0.0.1, which is also
+// its own CA.
+func issueSelfSigned(t *testing.T, dir string) settings.KeyPair {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -217,11 +219,11 @@
 	return pair
 }
 
-// TestPeersNeedTheCertificate checks that VMs reach each other over TLS and
-// that a client without a certificate reaches none.
-func TestPeersNeedTheCertificate(t *testing.T) {
+// TestPeersRequireCertificate checks that VMs reach each other over TLS and that
+// the peer port does not serve plain HTTP.
+func TestPeersRequireCertificate(t *testing.T) {
 	s := startStandins(t)
-	pair := issue(t, t.TempDir())
+	pair := issueSelfSigned(t, t.TempDir())
 	var daemons []*Daemon
 	var list []storage.VM
 	for i := range 2 {
@@ -233,7 +235,7 @@
 		list = append(list, storage.VM{ID: vm.VM.ID, PeerAddress: d.PeerAddress(), State: storage.VMLive})
 	}
 	s.directory.Set(list)
-	waitFor(t, "each VM sees the other", func() bool {
+	waitFor(t, "each VM has a heartbeat from the other", func() bool {
 		for _, d := range daemons {
 			v := d.members.View()
 			if len(v.Peers) != 1 || v.Peers[0].State != member.Live || v.Peers[0].Incarnation == "" {
@@ -245,7 +247,7 @@
 	if r, err := http.Get("http://" + daemons[0].PeerAddress()); err == nil {
 		defer r.Body.Close()
 		if r.StatusCode != http.StatusBadRequest {
-			t.Errorf("plain HTTP to the peer port: %d", r.StatusCode)
+			t.Errorf("plain HTTP to the peer port: status %d, want 400", r.StatusCode)
 		}
 	}
 }
--- a/pkg/daemon/places.go
+++ b/pkg/daemon/places.go
@@ -7,9 +7,9 @@
 	"crocusramp.dev/crocusramp/pkg/settings"
 )
 
-// places lists the names that routes, shifts and drains may speak of, so that
-// a misspelt one is refused. A failure domain is named alone or after its
-// region.
+// places returns the names that routes, shifts and drains may refer to, so that
+// the operators' API refuses a misspelt one. A failure domain is listed both by
+// its own name and as REGION/NAME.
 func places(s *settings.Settings) operator.Places {
 	p := operator.Places{Regions: s.Regions, Pools: []string{}, FailureDomains: []string{}, Targets: []string{}}
 	addDomain := func(region, domain string) {
--- a/pkg/daemon/recovery_test.go
+++ b/pkg/daemon/recovery_test.go
@@ -14,22 +14,22 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// BenchmarkRecovery measures how long the slots of a failure domain that dies,
-// a quarter of the fleet, stay without a holder.
+// BenchmarkRecovery measures how long slots stay without a holder after the
+// failure of one failure domain, a quarter of the fleet.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{8, 16, 32, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
 				b.StopTimer()
-				daemons, stop := startMany(b, n)
-				waitSlots(b, daemons, 2*n)
+				daemons, stop := startVMs(b, n)
+				waitForSlots(b, daemons, 2*n)
 				for _, d := range daemons[:n/4] {
 					d.cancel()
 					_ = d.servers.peers.Close()
 				}
 				started := time.Now()
 				b.StartTimer()
-				waitSlots(b, daemons[n/4:], 2*n)
+				waitForSlots(b, daemons[n/4:], 2*n)
 				b.ReportMetric(time.Since(started).Seconds(), "s/recovery")
 				b.StopTimer()
 				stop()
@@ -39,8 +39,9 @@
 	}
 }
 
-// startMany runs n VMs with two slots each.
-func startMany(b *testing.B, n int) ([]*Daemon, func()) {
+// startVMs runs n VMs and returns them with a function that stops them. The
+// fleet has two slots for each VM.
+func startVMs(b *testing.B, n int) ([]*Daemon, func()) {
 	b.Helper()
 	s := startStandins(b)
 	var daemons []*Daemon
@@ -78,8 +79,8 @@
 	}
 }
 
-// waitSlots returns once the VMs hold total valid slots together.
-func waitSlots(b *testing.B, daemons []*Daemon, total int) {
+// waitForSlots returns once the VMs together hold total valid slots.
+func waitForSlots(b *testing.B, daemons []*Daemon, total int) {
 	b.Helper()
 	deadline := time.Now().Add(3 * time.Minute)
 	for time.Now().Before(deadline) {
@@ -97,5 +98,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	b.Fatalf("the VMs do not hold %d slots", total)
+	b.Fatalf("the VMs did not hold %d slots within 3 minutes", total)
 }
--- a/pkg/daemon/run.go
+++ b/pkg/daemon/run.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Run serves until ctx ends, then shuts down gracefully. It returns an error
-// only where a listener failed while serving.
+// Run serves until ctx ends or a listener fails, then shuts down gracefully. It
+// returns an error only if a listener failed.
 func (d *Daemon) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
 	loopEnded := make(chan struct{})
 	go func() { d.loop.Run(background); close(loopEnded) }()
 	failed := make(chan error, 3)
-	// The peer listener serves first: a VM that holds a slot must never refuse
-	// connections there.
+	// The peer listener serves first because a VM that holds a slot must never
+	// refuse connections on it.
 	go serve(d.servers.peers, d.listeners.peers, d.servers.peers.TLSConfig, failed)
 	d.start(background)
 	go serve(d.servers.operators, d.listeners.operators, d.servers.operators.TLSConfig, failed)
@@ -29,7 +29,7 @@
 	select {
 	case <-ctx.Done():
 	case err = <-failed:
-		d.log.Error().Err(err).Msg("a listener failed")
+		d.log.Error().Err(err).Msg("listener failed; stopping")
 	}
 	d.stop()
 	cancel()
@@ -40,22 +40,22 @@
 	return err
 }
 
-// start sets every part going; it returns at once.
+// start starts all components and returns immediately.
 func (d *Daemon) start(ctx context.Context) {
 	d.members.Start(ctx)
 	d.feed.Start(ctx)
 	d.leases.Start(ctx)
 	d.limiter.Start(ctx)
 	d.scheduler.Start(ctx)
-	d.loop.Go(ctx, d.openWhenReady)
+	d.loop.Go(ctx, d.acceptCallersWhenReady)
 }
 
-// openWhenReady lets callers in once this VM can serve them as well as the
-// others do. Before, it would refuse requests for a route or a rate that it
-// does not know yet.
-func (d *Daemon) openWhenReady(ctx context.Context) {
+// acceptCallersWhenReady accepts callers once this VM can serve them as well as
+// its peers do. An earlier request would be refused because of a route or a rate
+// that this VM does not know yet.
+func (d *Daemon) acceptCallersWhenReady(ctx context.Context) {
 	started := time.Now()
-	for !d.mayOpen(time.Since(started)) {
+	for !d.canAcceptCallers(time.Since(started)) {
 		select {
 		case <-time.After(pollPeriod):
 		case <-ctx.Done():
@@ -63,18 +63,18 @@
 		}
 	}
 	d.entry.SetReady(true)
-	d.log.Info().Dur("after_ms", time.Since(started)).Msg("open to callers")
+	d.log.Info().Dur("after_ms", time.Since(started)).Msg("accepting callers")
 }
 
-// mayOpen reports whether the VM has a fresh configuration, the platform's
-// list with the first heartbeat of each peer, and a slot. A VM that finds no
-// free slot, as in a fleet larger than its slots, opens after slotPatience and
-// asks its peers for admission.
-func (d *Daemon) mayOpen(waited time.Duration) bool {
+// canAcceptCallers reports whether the VM has a fresh configuration, the
+// platform's list of VMs, a first heartbeat from each peer, and a slot. A VM that
+// finds no free slot, as in a fleet with more VMs than slots, accepts callers
+// after slotWaitTimeout and asks its peers for admission.
+func (d *Daemon) canAcceptCallers(waited time.Duration) bool {
 	if !d.feed.Ready() || !d.feed.Snapshot().Fresh {
 		return false
 	}
-	if waited > slotPatience {
+	if waited > slotWaitTimeout {
 		return true
 	}
 	view := d.members.View()
@@ -89,54 +89,56 @@
 	return true
 }
 
-// stop lets every request in flight end and gives back what this VM holds.
-// The peer listener stays open until the slots are released, since a refused
-// connection there means to the others that this VM uses nothing any more.
+// stop waits for the requests in flight to end and releases the shares and slots
+// of this VM. The peer listener stays open until the slots are released, since
+// peers take a refused connection to mean that this VM no longer uses them.
 func (d *Daemon) stop() {
 	started := time.Now()
-	d.leaving.Store(true)
-	d.log.Info().Msg("stopping: new callers are sent elsewhere")
-	d.waitQuiet(d.settings.Stop.Notice.Duration)
+	d.stopping.Store(true)
+	d.log.Info().Msg("stopping; waiting for callers to move to other VMs")
+	d.waitForQuietPeriod(d.settings.Stop.Notice.Duration)
 
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Stop.Grace.Duration)
 	defer cancel()
 	if err := d.entry.Shutdown(ctx); err != nil {
-		d.log.Warn().Err(err).Msg("requests were still running at the end of stop.grace")
+		d.log.Warn().Err(err).Msg("requests were still in flight at the end of stop.grace")
 	}
-	// The last answers leave although ctx may have ended.
+	// The last responses are delivered under their own timeout, since ctx may
+	// have ended.
 	delivery, cancelDelivery := context.WithTimeout(context.Background(), deliveryTimeout)
 	defer cancelDelivery()
 	if err := d.servers.callers.Shutdown(delivery); err != nil && !errors.Is(err, context.DeadlineExceeded) {
-		d.log.Warn().Err(err).Msg("closing the callers' listener failed")
+		d.log.Warn().Err(err).Msg("failed to shut down the callers' server")
 	}
 	_ = d.servers.callers.Close()
-	d.release()
-	// An operator's call that has begun gets its answer.
+	d.releaseSharesAndSlots()
+	// Shutdown lets operators' calls in flight complete.
 	_ = d.servers.operators.Shutdown(ctx)
 	_ = d.servers.operators.Close()
 	_ = d.flush(ctx)
-	d.log.Info().Dur("took_ms", time.Since(started)).Msg("nothing is running any more")
+	d.log.Info().Dur("took_ms", time.Since(started)).Msg("callers' and operators' servers are closed")
 }
 
-// release gives shares and slots back.
-func (d *Daemon) release() {
+// releaseSharesAndSlots returns borrowed shares of limits to their owners and
+// releases this VM's slots.
+func (d *Daemon) releaseSharesAndSlots() {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	d.limiter.Release(ctx)
 	if err := d.leases.Release(ctx); err != nil {
-		d.log.Warn().Err(err).Msg("slots were not released; peers take them over by the closed port")
+		d.log.Warn().Err(err).Msg("failed to release slots; peers take them over once the peer port refuses connections")
 	}
 }
 
-// waitQuiet returns after a quiet period without new requests, at the latest
+// waitForQuietPeriod returns once no request has arrived for quietPeriod, or
 // after limit.
-func (d *Daemon) waitQuiet(limit time.Duration) {
+func (d *Daemon) waitForQuietPeriod(limit time.Duration) {
 	end := time.Now().Add(limit)
-	last, since := d.arrivals.Load(), time.Now()
-	for time.Now().Before(end) && time.Since(since) < quietPeriod {
+	lastCount, lastArrival := d.arrivals.Load(), time.Now()
+	for time.Now().Before(end) && time.Since(lastArrival) < quietPeriod {
 		time.Sleep(pollPeriod)
-		if n := d.arrivals.Load(); n != last {
-			last, since = n, time.Now()
+		if n := d.arrivals.Load(); n != lastCount {
+			lastCount, lastArrival = n, time.Now()
 		}
 	}
 }
--- a/pkg/daemon/status.go
+++ b/pkg/daemon/status.go
@@ -12,11 +12,11 @@
 	"crocusramp.dev/crocusramp/pkg/operator"
 )
 
-// Status reports the fleet as this VM knows it: its own parts exactly, its
-// peers' parts as of their last heartbeat.
+// Status reports the fleet as this VM knows it: its own state as of now, its
+// peers' states as of their last heartbeats.
 func (d *Daemon) Status(context.Context) (*operatorpb.StatusResponse, error) {
 	self := d.members.View().Self
-	d.describe(&self)
+	d.describeSelf(&self)
 	vms := append([]member.Peer{self}, d.members.View().Peers...)
 	slices.SortFunc(vms, func(a, b member.Peer) int { return strings.Compare(a.ID, b.ID) })
 	response := &operatorpb.StatusResponse{
@@ -43,16 +43,17 @@
 	return c, store
 }
 
-// regionStatus adds up the VMs of each region, in order of region and pool.
+// regionStatus sums up the pool loads of each region's VMs, sorted by region and
+// pool.
 func regionStatus(vms []member.Peer) []*operatorpb.RegionStatus {
-	type place struct{ region, pool string }
-	sums := map[place]*operatorpb.RegionStatus{}
+	type regionPool struct{ region, pool string }
+	sums := map[regionPool]*operatorpb.RegionStatus{}
 	for _, vm := range vms {
 		if vm.State == member.Gone || vm.State == member.Silent {
 			continue
 		}
 		for _, l := range vm.Pools {
-			k := place{vm.Region, l.Pool}
+			k := regionPool{vm.Region, l.Pool}
 			if sums[k] == nil {
 				sums[k] = &operatorpb.RegionStatus{Name: k.region, Pool: k.pool}
 			}
@@ -78,7 +79,7 @@
 	accounts := d.feed.Snapshot().Accounts
 	var out []*operatorpb.AccountStatus
 	for _, s := range d.limiter.Shares() {
-		counts := d.admitted.counts(s.Account)
+		counts := d.countedLimiter.counts(s.Account)
 		status := &operatorpb.AccountStatus{
 			Name: s.Account, Share: s.Rate,
 			Admitted: counts.admitted.Load(), Refused: counts.refused.Load(),
@@ -91,7 +92,7 @@
 	return out
 }
 
-// addPoolStatus adds shifts and the targets that are leaving.
+// addPoolStatus adds the shifts and the draining targets to the response.
 func (d *Daemon) addPoolStatus(response *operatorpb.StatusResponse) {
 	s := d.scheduler.Status()
 	for _, p := range s.Pools {
--- a/pkg/daemon/traffic.go
+++ b/pkg/daemon/traffic.go
@@ -6,16 +6,17 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// countedListener counts the bytes of the connections that it accepts.
-type countedListener struct {
+// byteCountingListener counts the bytes that its accepted connections receive
+// and send.
+type byteCountingListener struct {
 	net.Listener
 	received, sent metrics.Counter
 }
 
-// countPeerBytes registers counters for what peers send to this VM and what
-// it answers.
+// countPeerBytes wraps the peer listener and registers counters of the bytes
+// that it receives and sends.
 func countPeerBytes(l net.Listener, r metrics.Registry) net.Listener {
-	return &countedListener{
+	return &byteCountingListener{
 		Listener: l,
 		received: metrics.GetOrRegisterCounter("peer.bytes_received", r),
 		sent:     metrics.GetOrRegisterCounter("peer.bytes_sent", r),
@@ -23,26 +24,26 @@
 }
 
 // Accept implements net.Listener.
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *byteCountingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: c, listener: l}, nil
+	return &byteCountingConn{Conn: c, listener: l}, nil
 }
 
-type countedConn struct {
+type byteCountingConn struct {
 	net.Conn
-	listener *countedListener
+	listener *byteCountingListener
 }
 
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *byteCountingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.listener.received.Inc(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *byteCountingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.listener.sent.Inc(int64(n))
 	return n, err
