--- a/pkg/dev/dev.go
+++ b/pkg/dev/dev.go
@@ -1,5 +1,5 @@
-// Package dev runs a whole small fleet in one process over loopback TCP: the
-// platform's stand-ins, targets in two regions and three VMs.
+// Package dev runs a small fleet in one process over loopback TCP: stand-ins for
+// the platform, targets in two regions and, by default, three VMs.
 package dev
 
 import (
@@ -28,11 +28,11 @@
 	anyPort     = "127.0.0.1:0"
 	targetSlots = 9
 	connections = 360
-	// defaultServiceTime is how long a stand-in target works on a request.
+	// defaultServiceTime is how long a stand-in target takes for a request.
 	defaultServiceTime = 5 * time.Millisecond
 )
 
-// serviceTime is replaced by the benchmark.
+// serviceTime is a variable so that the benchmark can set it.
 var serviceTime = defaultServiceTime
 
 var (
@@ -41,7 +41,7 @@
 	defaultCallers = []string{"127.0.0.1:8080", "127.0.0.1:8081", "127.0.0.1:8082"}
 )
 
-// fleet is what Run starts.
+// fleet holds the servers that Run starts.
 type fleet struct {
 	ctx       context.Context
 	group     *errgroup.Group
@@ -52,7 +52,7 @@
 	daemons   []*daemon.Daemon
 }
 
-// Run starts the fleet, writes commands to try to stdout, and serves until ctx
+// Run starts the fleet, prints example commands to stdout, and serves until ctx
 // ends.
 func Run(ctx context.Context, c *daemon.DevCommand, stdout, stderr io.Writer) error {
 	if len(c.Callers) == 0 {
@@ -62,11 +62,11 @@
 	if err != nil {
 		return fmt.Errorf("%w: --log-level: %w", settings.ErrInvalid, err)
 	}
-	// The platform and the targets outlive the VMs, which release their slots
-	// while they stop.
-	outer, stop := context.WithCancel(context.Background())
-	defer stop()
-	f := &fleet{ctx: outer, group: &errgroup.Group{}, log: log}
+	// The platform and the targets run until the VMs have stopped, because a
+	// stopping VM still releases its slots.
+	standinCtx, stopStandins := context.WithCancel(context.Background())
+	defer stopStandins()
+	f := &fleet{ctx: standinCtx, group: &errgroup.Group{}, log: log}
 	if err := f.startPlatform(); err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	}
 	vms.Go(func() error { return seed(ctx, c, stdout) })
 	err = vms.Wait()
-	stop()
+	stopStandins()
 	_ = f.group.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -141,7 +141,8 @@
 	return nil
 }
 
-// addVMs binds the listeners of every VM, then tells the platform's list.
+// addVMs builds the VMs, which binds their listeners, and then adds them to the
+// platform's list of VMs.
 func (f *fleet) addVMs(ctx context.Context, c *daemon.DevCommand) error {
 	var list []storage.VM
 	for i, callers := range c.Callers {
@@ -164,7 +165,8 @@
 	return nil
 }
 
-// settings passes through Parse, so that dev runs on checked settings too.
+// settings returns the settings of VM i. It uses settings.Parse so that they are
+// validated like those from a file.
 func (f *fleet) settings(i int, callers, operators string) (*settings.Settings, error) {
 	region := regions[i%len(regions)]
 	text, err := json.Marshal(settings.Settings{
--- a/pkg/dev/path_test.go
+++ b/pkg/dev/path_test.go
@@ -19,20 +19,21 @@
 	"crocusramp.dev/crocusramp/pkg/standin/target"
 )
 
-// fleetUnderTest is a running dev fleet.
-type fleetUnderTest struct {
+// testFleet is a running dev fleet.
+type testFleet struct {
 	callers []string
 	key     string
 }
 
-// output hands over what the fleet prints once the example commands are in it.
-type output struct {
+// exampleOutput collects the fleet's standard output and sends it to ready once
+// it holds all example commands.
+type exampleOutput struct {
 	mu    sync.Mutex
 	text  strings.Builder
 	ready chan string
 }
 
-func (o *output) Write(p []byte) (int, error) {
+func (o *exampleOutput) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.text.Write(p)
@@ -42,15 +43,15 @@
 	return len(p), nil
 }
 
-func startFleet(tb testing.TB) *fleetUnderTest {
+func startFleet(tb testing.TB) *testFleet {
 	tb.Helper()
-	f := &fleetUnderTest{}
+	f := &testFleet{}
 	for range 3 {
 		f.callers = append(f.callers, freeport.Address(tb))
 	}
 	command := &daemon.DevCommand{Operators: freeport.Address(tb), Callers: f.callers, Targets: 2, LogLevel: "error"}
 	ctx, cancel := context.WithCancel(context.Background())
-	out := &output{ready: make(chan string, 1)}
+	out := &exampleOutput{ready: make(chan string, 1)}
 	ended := make(chan error, 1)
 	go func() { ended <- Run(ctx, command, out, io.Discard) }()
 	tb.Cleanup(func() {
@@ -64,9 +65,9 @@
 		_, rest, _ := strings.Cut(text, "Bearer ")
 		f.key, _, _ = strings.Cut(rest, "'")
 	case err := <-ended:
-		tb.Fatalf("the fleet ended: %v", err)
+		tb.Fatalf("the fleet stopped before it was ready: %v", err)
 	case <-time.After(time.Minute):
-		tb.Fatal("the fleet did not come up")
+		tb.Fatal("the fleet did not print its example commands within a minute")
 	}
 	limits := operatorpb.NewLimitsProtobufClient("http://"+command.Operators, http.DefaultClient)
 	if _, err := limits.Set(ctx, &operatorpb.SetLimitRequest{Account: "example", Rate: new(1e6), Burst: new(1e5)}); err != nil {
@@ -75,8 +76,8 @@
 	return f
 }
 
-// get sends one look-up and returns its status.
-func (f *fleetUnderTest) get(client *http.Client, address string) (int, error) {
+// lookUp sends one look-up and returns the HTTP status of its response.
+func (f *testFleet) lookUp(client *http.Client, address string) (int, error) {
 	request, err := http.NewRequest(http.MethodGet, "http://"+address+"/certificates/1", nil)
 	if err != nil {
 		return 0, err
@@ -92,17 +93,17 @@
 }
 
 // waitServing returns once every VM has served a look-up.
-func (f *fleetUnderTest) waitServing(tb testing.TB) {
+func (f *testFleet) waitServing(tb testing.TB) {
 	tb.Helper()
 	deadline := time.Now().Add(time.Minute)
 	for _, address := range f.callers {
 		for {
-			status, err := f.get(http.DefaultClient, address)
+			status, err := f.lookUp(http.DefaultClient, address)
 			if err == nil && status == http.StatusOK {
 				break
 			}
 			if time.Now().After(deadline) {
-				tb.Fatalf("%s does not serve: status %d, %v", address, status, err)
+				tb.Fatalf("%s did not serve a look-up within a minute: status %d, %v", address, status, err)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -114,39 +115,40 @@
 	f.waitServing(t)
 }
 
-// measure runs get b.N times on 8 connections and reports quantiles.
-func measure(b *testing.B, get func(client *http.Client) (int, error)) {
+// measure runs lookUp b.N times on GOMAXPROCS goroutines that share one client,
+// and reports latency quantiles and the number of look-ups that failed.
+func measure(b *testing.B, lookUp func(client *http.Client) (int, error)) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
 	var mu sync.Mutex
-	all := hdrhistogram.New(1, 60_000_000, 3)
-	refused := 0
+	allSamples := hdrhistogram.New(1, 60_000_000, 3)
+	allFailures := 0
 	b.SetParallelism(1)
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
-		own := hdrhistogram.New(1, 60_000_000, 3)
-		bad := 0
+		samples := hdrhistogram.New(1, 60_000_000, 3)
+		failures := 0
 		for pb.Next() {
 			started := time.Now()
-			status, err := get(client)
+			status, err := lookUp(client)
 			if err != nil || status != http.StatusOK {
-				bad++
+				failures++
 				continue
 			}
-			_ = own.RecordValue(time.Since(started).Microseconds())
+			_ = samples.RecordValue(time.Since(started).Microseconds())
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		all.Merge(own)
-		refused += bad
+		allSamples.Merge(samples)
+		allFailures += failures
 	})
-	b.ReportMetric(float64(all.ValueAtQuantile(50)), "p50-µs")
-	b.ReportMetric(float64(all.ValueAtQuantile(99)), "p99-µs")
-	b.ReportMetric(float64(refused), "refused")
+	b.ReportMetric(float64(allSamples.ValueAtQuantile(50)), "p50-µs")
+	b.ReportMetric(float64(allSamples.ValueAtQuantile(99)), "p99-µs")
+	b.ReportMetric(float64(allFailures), "refused")
 }
 
-// BenchmarkPath compares a look-up through a VM with a direct one to a target
-// that does no work, in one run and one process.
+// BenchmarkPath compares a look-up through a VM with one sent directly to a
+// target, both with a service time of 0, in one run and one process.
 func BenchmarkPath(b *testing.B) {
 	direct := target.New(target.Config{Name: "direct", Slots: 1000})
 	l, err := net.Listen("tcp", anyPort)
@@ -162,12 +164,12 @@
 	f := startFleet(b)
 	f.waitServing(b)
 	b.Run("direct", func(b *testing.B) {
-		measure(b, func(c *http.Client) (int, error) { return f.get(c, l.Addr().String()) })
+		measure(b, func(c *http.Client) (int, error) { return f.lookUp(c, l.Addr().String()) })
 	})
 	b.Run("through_vm", func(b *testing.B) {
-		measure(b, func(c *http.Client) (int, error) { return f.get(c, f.callers[0]) })
+		measure(b, func(c *http.Client) (int, error) { return f.lookUp(c, f.callers[0]) })
 	})
 	if testing.Verbose() {
-		fmt.Println("the target, the VMs and the callers share the processors of one machine")
+		fmt.Println("the target, the VMs and the callers share the CPU cores of one machine")
 	}
 }
--- a/pkg/dev/seed.go
+++ b/pkg/dev/seed.go
@@ -21,8 +21,8 @@
 	routeTimeout = 2 * time.Second
 )
 
-// seed creates the example entities through the operators' API and prints
-// commands that use them.
+// seed creates an example client account, its routes and a key through the
+// operators' API and prints commands that use them.
 func seed(ctx context.Context, c *daemon.DevCommand, stdout io.Writer) error {
 	server := "http://" + c.Operators
 	if err := create(ctx, server); err != nil {
@@ -37,7 +37,8 @@
 	return nil
 }
 
-// example takes the callers' address, a key and the operators' address.
+// example is a format string. Its arguments are a VM's address for callers, a
+// client account key and the address of the operators' API.
 const example = `
 The fleet is up. Try, in another terminal:
 
@@ -54,7 +55,8 @@
 Stop with Ctrl-C.
 `
 
-// create retries until the VM is ready to accept changes.
+// create creates the example client account and its routes. It retries the first
+// change until the VM accepts it or seedTimeout has passed.
 func create(ctx context.Context, server string) error {
 	ctx, cancel := context.WithTimeout(ctx, seedTimeout)
 	defer cancel()
