--- a/pkg/standin/command/command.go
+++ b/pkg/standin/command/command.go
@@ -1,5 +1,5 @@
-// Package command runs the stand-ins as processes of their own, for tests of
-// whole fleets.
+// Package command runs each stand-in as a separate process, for tests of whole
+// fleets.
 package command
 
 import (
@@ -18,15 +18,15 @@
 	"crocusramp.dev/crocusramp/platform/standin"
 )
 
-// exitUsage is the exit status for a wrong command line.
+// exitUsage is the exit status for an invalid command line.
 const exitUsage = 2
 
-// serviceArgs are the arguments of a service of the platform.
+// serviceArgs holds the arguments of a platform service.
 type serviceArgs struct {
 	Listen string `arg:"--listen,required" help:"address to listen on, as host:port"`
 }
 
-// targetArgs are the arguments of a target.
+// targetArgs holds the arguments of a target.
 type targetArgs struct {
 	serviceArgs
 	Name         string        `arg:"--name,required"`
@@ -62,12 +62,12 @@
 // Main runs a stand-in until the process is killed. It returns the exit status.
 func Main() int { return Run(os.Args[1:], os.Stderr) }
 
-// Run runs the stand-in that the command line names. It returns the exit status.
+// Run runs the stand-in that commandLine names. It returns the exit status.
 func Run(commandLine []string, stderr io.Writer) int {
 	var a args
 	parser, err := arg.NewParser(arg.Config{Program: "standin"}, &a)
 	if err != nil {
-		panic(err) // the struct above is wrong
+		panic(err) // the tags of args are invalid
 	}
 	err = parser.Parse(commandLine)
 	switch {
--- a/pkg/standin/command/link.go
+++ b/pkg/standin/command/link.go
@@ -6,14 +6,15 @@
 	"net"
 )
 
-// linkArgs are the arguments of a link: a network path between two processes.
-// Killing it refuses connections, stopping it with SIGSTOP loses all bytes.
+// linkArgs holds the arguments of a link, a TCP proxy between two processes that
+// simulates network faults: after SIGKILL connections are refused, and after
+// SIGSTOP no data gets through.
 type linkArgs struct {
 	serviceArgs
 	To string `arg:"--to,required" help:"address that connections are passed on to, as host:port"`
 }
 
-// forward passes the connections of l on until l is closed.
+// forward proxies the connections of l until l is closed.
 func (a *linkArgs) forward(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
@@ -23,11 +24,11 @@
 		if err != nil {
 			return err
 		}
-		go a.pass(conn)
+		go a.proxy(conn)
 	}
 }
 
-func (a *linkArgs) pass(from net.Conn) {
+func (a *linkArgs) proxy(from net.Conn) {
 	defer from.Close()
 	to, err := net.Dial("tcp", a.To)
 	if err != nil {
@@ -35,17 +36,18 @@
 	}
 	defer to.Close()
 	done := make(chan struct{}, 2)
-	go copyHalf(to, from, done)
-	go copyHalf(from, to, done)
+	go copyDirection(to, from, done)
+	go copyDirection(from, to, done)
 	<-done
 	<-done
 }
 
-// copyHalf passes one direction on, its end included.
-func copyHalf(to, from net.Conn, done chan<- struct{}) {
+// copyDirection copies one direction of a connection and passes on its end as a
+// half-close. It closes both connections after an error.
+func copyDirection(to, from net.Conn, done chan<- struct{}) {
 	_, err := io.Copy(to, from)
-	if half, ok := to.(*net.TCPConn); ok && err == nil {
-		_ = half.CloseWrite() // the other direction shows the error
+	if tcp, ok := to.(*net.TCPConn); ok && err == nil {
+		_ = tcp.CloseWrite() // the other direction reports the error
 	} else {
 		to.Close()
 		from.Close()
--- a/pkg/standin/directory/directory.go
+++ b/pkg/standin/directory/directory.go
@@ -1,4 +1,5 @@
-// Package directory is a stand-in for the platform's lagging list of VMs.
+// Package directory is a stand-in for the platform's list of VMs, which readers
+// see with a lag.
 package directory
 
 import (
@@ -12,43 +13,43 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// version is a list that was set at an instant.
-type version struct {
+// listVersion is a list of VMs and the time at which it was set.
+type listVersion struct {
 	at  time.Time
 	vms []storage.VM
 }
 
-// Server is the list of VMs.
+// Server serves the list of VMs.
 type Server struct {
 	faults *fault.Injector
 
 	mu       sync.Mutex
 	lag      time.Duration
-	versions []version
+	versions []listVersion
 }
 
-// New returns an empty list without lag.
+// New returns a server with an empty list and no lag.
 func New() *Server { return &Server{faults: fault.NewInjector()} }
 
-// Faults returns the injector that makes the list fail.
+// Faults returns the injector of the server's faults.
 func (s *Server) Faults() *fault.Injector { return s.faults }
 
 // Set replaces the list. Readers see it once the lag has passed.
 func (s *Server) Set(vms []storage.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.versions = append(s.versions, version{time.Now(), vms})
+	s.versions = append(s.versions, listVersion{time.Now(), vms})
 }
 
-// SetLag sets how long readers see the older list.
+// SetLag sets how long readers see the previous list after Set.
 func (s *Server) SetLag(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lag = lag
 }
 
-// Handler returns the service: GET / is the list, PUT / sets it, PUT /lag sets
-// the lag as {"lag":"5s"}, and /fault sets the faults.
+// Handler returns the HTTP handler: GET / returns the list, PUT / sets it,
+// PUT /lag sets the lag, as in {"lag":"5s"}, and /fault sets the faults.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /{$}", s.serveList)
@@ -59,7 +60,7 @@
 	return outer
 }
 
-// Serve answers connections of l until it is closed.
+// Serve serves connections of l until l is closed.
 func (s *Server) Serve(l net.Listener) error {
 	return (&http.Server{Handler: s.Handler()}).Serve(l)
 }
@@ -70,12 +71,13 @@
 }
 
 func (s *Server) serveList(w http.ResponseWriter, _ *http.Request) {
-	admin.Answer(w, list{s.visible(time.Now())})
+	admin.Answer(w, list{s.visibleList(time.Now())})
 }
 
-// visible returns the newest list that is older than the lag. The first list
-// is visible at once, since an empty one would mean that VMs were removed.
-func (s *Server) visible(now time.Time) []storage.VM {
+// visibleList returns the newest list that was set at least the lag ago. The
+// first list is visible immediately, since readers take an empty list to mean
+// that VMs were removed.
+func (s *Server) visibleList(now time.Time) []storage.VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := len(s.versions) - 1; i >= 0; i-- {
--- a/pkg/standin/fault/capacity.go
+++ b/pkg/standin/fault/capacity.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// capacity is a token bucket that holds one second of its rate.
-type capacity struct {
-	rate   float64 // a second; 0 is unbounded
-	tokens float64
-	at     time.Time
+// tokenBucket limits calls to a rate. It holds at most the tokens of one second.
+type tokenBucket struct {
+	rate    float64 // per second; 0 means unlimited
+	tokens  float64
+	updated time.Time
 }
 
-func newCapacity(rate float64, now time.Time) capacity {
-	return capacity{rate: rate, tokens: rate, at: now}
+func newTokenBucket(rate float64, now time.Time) tokenBucket {
+	return tokenBucket{rate: rate, tokens: rate, updated: now}
 }
 
-// take reports whether n more calls are within the rate.
-func (c *capacity) take(n int, now time.Time) bool {
-	if c.rate <= 0 {
+// take takes n tokens and reports true if the bucket holds as many. Otherwise it
+// takes none.
+func (b *tokenBucket) take(n int, now time.Time) bool {
+	if b.rate <= 0 {
 		return true
 	}
-	c.tokens = min(c.rate, c.tokens+c.rate*now.Sub(c.at).Seconds())
-	c.at = now
-	if c.tokens < float64(n) {
+	b.tokens = min(b.rate, b.tokens+b.rate*now.Sub(b.updated).Seconds())
+	b.updated = now
+	if b.tokens < float64(n) {
 		return false
 	}
-	c.tokens -= float64(n)
+	b.tokens -= float64(n)
 	return true
 }
--- a/pkg/standin/fault/fault.go
+++ b/pkg/standin/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault makes the stand-ins of the platform fail on demand: down,
-// slow, throttled, answers lost after a write took effect, conflicts.
+// Package fault injects faults into the stand-ins for the platform: outages,
+// delays, throttling, lost responses to writes that took effect, and conflicts.
 package fault
 
 import (
@@ -14,34 +14,36 @@
 	"crocusramp.dev/crocusramp/pkg/standin/internal/admin"
 )
 
-// Path is where an HTTP stand-in accepts faults: GET shows them, POST replaces
-// them, DELETE clears them.
+// Path is the endpoint of an HTTP stand-in's faults: GET returns them, POST
+// replaces them, DELETE clears them.
 const Path = "/fault"
 
-// Down says how a service that is down answers.
+// Down is how a service that is down responds to requests.
 type Down string
 
-// The ways of being down.
+// The values of Down.
 const (
 	// DownNo means that the service is up.
 	DownNo Down = ""
-	// DownRefuse answers 503.
+	// DownRefuse responds with 503.
 	DownRefuse Down = "refuse"
-	// DownClose closes the connection without an answer.
+	// DownClose closes the connection without a response.
 	DownClose Down = "close"
-	// DownSilent never answers.
+	// DownSilent never responds.
 	DownSilent Down = "silent"
 )
 
-// Duration is a time.Duration that JSON writes as a string such as "250ms".
+// Duration is a time.Duration that is encoded in JSON as a string such as
+// "250ms".
 type Duration time.Duration
 
-// MarshalJSON writes the duration as a string.
+// MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads a string with a unit.
+// UnmarshalJSON implements json.Unmarshaler. It accepts only strings with a
+// unit.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var s string
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -55,29 +57,30 @@
 	return nil
 }
 
-// Faults is what is wrong with a service. The zero value is a healthy one.
+// Faults holds the faults of a service. The zero value is a healthy service.
 type Faults struct {
 	Down Down `json:"down,omitempty"`
-	// Delay passes before a request is executed. The request takes effect
-	// even where its client has given up by then.
+	// Delay is the time before a request is executed. The request takes effect
+	// even if its client has given up by then.
 	Delay Duration `json:"delay,omitempty"`
-	// Throttle refuses every request before doing anything, as a service
-	// does that is over its provisioned rate.
+	// Throttle refuses every request before it has any effect, like a service
+	// over its provisioned rate.
 	Throttle bool `json:"throttle,omitempty"`
-	// ReadRate and WriteRate are the reads and the written items a second that
-	// are executed; more are throttled. 0 is unbounded.
+	// ReadRate and WriteRate limit the reads and the written items per second;
+	// requests above them are throttled. 0 means unlimited.
 	ReadRate  float64 `json:"read_rate,omitempty"`
 	WriteRate float64 `json:"write_rate,omitempty"`
-	// LoseAnswers is how many of the next writes take effect without an answer.
+	// LoseAnswers is how many of the next writes take effect without a response.
 	LoseAnswers int `json:"lose_answers,omitempty"`
-	// LoseRate is the part of writes, 0 to 1, whose answer is lost.
+	// LoseRate is the fraction of writes, 0 to 1, whose response is lost.
 	LoseRate float64 `json:"lose_rate,omitempty"`
-	// Conflicts is how many of the next writes are refused because of another
-	// transaction on the same items.
+	// Conflicts is how many of the next writes are refused as if another
+	// transaction held the same items.
 	Conflicts int `json:"conflicts,omitempty"`
-	// ConflictRate is the part of writes, 0 to 1, that are refused so.
+	// ConflictRate is the fraction of writes, 0 to 1, that are refused with a
+	// conflict.
 	ConflictRate float64 `json:"conflict_rate,omitempty"`
-	// Seed starts the generator behind the rates.
+	// Seed seeds the random generator behind LoseRate and ConflictRate.
 	Seed uint64 `json:"seed,omitempty"`
 }
 
@@ -85,9 +88,9 @@
 type Injector struct {
 	mu     sync.Mutex
 	faults Faults
-	random *rand.Rand
-	reads  capacity
-	writes capacity
+	rng    *rand.Rand
+	reads  tokenBucket
+	writes tokenBucket
 }
 
 // NewInjector returns an Injector without faults.
@@ -103,62 +106,65 @@
 	defer i.mu.Unlock()
 	i.faults = f
 	now := time.Now()
-	i.reads, i.writes = newCapacity(f.ReadRate, now), newCapacity(f.WriteRate, now)
-	i.random = rand.New(rand.NewPCG(f.Seed, f.Seed))
+	i.reads, i.writes = newTokenBucket(f.ReadRate, now), newTokenBucket(f.WriteRate, now)
+	i.rng = rand.New(rand.NewPCG(f.Seed, f.Seed))
 }
 
-// Faults returns the present faults; counts show what remains of them.
+// Faults returns the current faults. Fields that count requests hold how many
+// remain.
 func (i *Injector) Faults() Faults {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.faults
 }
 
-// ThrottleRead reports whether a read must be refused.
+// ThrottleRead reports whether a read must be throttled.
 func (i *Injector) ThrottleRead() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.faults.Throttle || !i.reads.take(1, time.Now())
 }
 
-// ThrottleWrite reports whether a write of n items must be refused.
+// ThrottleWrite reports whether a write of n items must be throttled.
 func (i *Injector) ThrottleWrite(n int) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.faults.Throttle || !i.writes.take(n, time.Now())
 }
 
-// LoseAnswer reports whether the answer to the write that was just executed
-// must be lost. It uses up one of LoseAnswers.
+// LoseAnswer reports whether the response to the write that was just executed
+// must be lost. It decrements LoseAnswers if that is above 0.
 func (i *Injector) LoseAnswer() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.hit(&i.faults.LoseAnswers, i.faults.LoseRate)
+	return i.occurs(&i.faults.LoseAnswers, i.faults.LoseRate)
 }
 
-// Conflict reports whether the next write must be refused. It uses up one of
-// Conflicts.
+// Conflict reports whether the next write must be refused with a conflict. It
+// decrements Conflicts if that is above 0.
 func (i *Injector) Conflict() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.hit(&i.faults.Conflicts, i.faults.ConflictRate)
+	return i.occurs(&i.faults.Conflicts, i.faults.ConflictRate)
 }
 
-func (i *Injector) hit(count *int, rate float64) bool {
+// occurs reports whether a fault occurs: as long as *count is above 0, which it
+// decrements, and after that at random with probability rate.
+func (i *Injector) occurs(count *int, rate float64) bool {
 	if *count > 0 {
 		*count--
 		return true
 	}
-	return rate > 0 && i.random.Float64() < rate
+	return rate > 0 && i.rng.Float64() < rate
 }
 
-// Wrap returns a handler that serves Path, applies Down and Delay, and hands
-// everything else to next.
+// Wrap returns a handler that serves Path itself, and applies Delay and Down to
+// all other requests before it passes them to next.
 func (i *Injector) Wrap(next http.Handler) http.Handler {
-	document := admin.Document(i.Faults, i.Set)
+	faultsHandler := admin.Document(i.Faults, i.Set)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == Path {
-			document.ServeHTTP(w, r)
+			faultsHandler.ServeHTTP(w, r)
 			return
 		}
 		f := i.Faults()
@@ -169,7 +175,8 @@
 		case DownClose:
 			admin.Drop(w)
 		case DownSilent:
-			// The server sees that the client has gone once the body was read.
+			// net/http notices a closed connection, and ends the context, only after
+			// the body was read.
 			_, _ = io.Copy(io.Discard, r.Body)
 			<-r.Context().Done()
 		default:
--- a/pkg/standin/fault/fault_test.go
+++ b/pkg/standin/fault/fault_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestAdmin(t *testing.T) {
+func TestFaultsEndpoint(t *testing.T) {
 	i := NewInjector()
 	h := i.Wrap(http.NotFoundHandler())
 	cases := []struct {
@@ -27,13 +27,14 @@
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(c.method, Path, strings.NewReader(c.body)))
 		if got := i.Faults(); w.Code != c.status || got != c.want {
-			t.Errorf("%s %s: status %d, faults %+v", c.method, c.body, w.Code, got)
+			t.Errorf("%s %s: got status %d, faults %+v", c.method, c.body, w.Code, got)
 		}
 	}
 }
 
-// TestRatesFollowTheSeed proves that a seed repeats the same faults.
-func TestRatesFollowTheSeed(t *testing.T) {
+// TestSeedReproducesFaults checks that the same seed injects the same faults and
+// another seed injects others.
+func TestSeedReproducesFaults(t *testing.T) {
 	draw := func(seed uint64) (lost []bool) {
 		i := NewInjector()
 		i.Set(Faults{LoseRate: 0.5, Seed: seed})
@@ -49,13 +50,13 @@
 		differs = differs || a[i] != other[i]
 	}
 	if !same || !differs {
-		t.Errorf("same seed repeats: %v, another seed differs: %v", same, differs)
+		t.Errorf("same seed, same faults: %v; another seed, other faults: %v; want true and true", same, differs)
 	}
 }
 
-func TestCapacity(t *testing.T) {
+func TestTokenBucket(t *testing.T) {
 	now := time.Unix(0, 0)
-	c := newCapacity(10, now)
+	c := newTokenBucket(10, now)
 	steps := []struct {
 		after time.Duration
 		n     int
@@ -64,7 +65,7 @@
 	for i, s := range steps {
 		now = now.Add(s.after)
 		if got := c.take(s.n, now); got != s.want {
-			t.Errorf("step %d: %v", i, got)
+			t.Errorf("step %d: take returned %v", i, got)
 		}
 	}
 }
--- a/pkg/standin/internal/admin/admin.go
+++ b/pkg/standin/internal/admin/admin.go
@@ -1,4 +1,4 @@
-// Package admin holds what the admin endpoints of the stand-ins share.
+// Package admin holds helpers for the admin endpoints of the stand-ins.
 package admin
 
 import (
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// Document serves a value as JSON: GET shows it, POST replaces it, DELETE sets
-// its zero value. Unknown fields are refused.
+// Document returns a handler that serves a value as JSON: GET returns it, POST
+// replaces it, DELETE sets it to its zero value. Unknown fields are refused.
 func Document[T any](get func() T, set func(T)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var v T
@@ -40,13 +40,13 @@
 	return nil
 }
 
-// Answer answers with v as JSON.
+// Answer writes v as a JSON response with status 200.
 func Answer(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the client may have left
+	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected
 }
 
-// Drop closes the client's connection without an answer.
+// Drop closes the client's connection without completing the response.
 func Drop(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/pkg/standin/target/faults.go
+++ b/pkg/standin/target/faults.go
@@ -8,45 +8,45 @@
 	"crocusramp.dev/crocusramp/pkg/standin/internal/admin"
 )
 
-// Faults is what is wrong with a target. The zero value is a healthy one.
+// Faults holds the faults of a target. The zero value is a healthy target.
 type Faults struct {
-	// Draining makes the target report that it is leaving; it still runs
-	// what it gets.
+	// Draining makes the target report that it is draining. It still runs the
+	// requests that it receives.
 	Draining bool `json:"draining,omitempty"`
-	// Unhealthy makes /healthz answer 503.
+	// Unhealthy makes /healthz respond with 503.
 	Unhealthy bool `json:"unhealthy,omitempty"`
-	// ReportRunning is what /load reports in place of the truth.
+	// ReportRunning replaces the number of running requests that /load reports.
 	ReportRunning *int `json:"report_running,omitempty"`
-	// Overcommit runs requests above the slots in place of shedding them.
+	// Overcommit runs requests above the slots instead of shedding them.
 	Overcommit bool `json:"overcommit,omitempty"`
-	// CrashMarker crashes the target on any request that holds it in its
-	// path, query or body.
+	// CrashMarker crashes the target on any request that contains it in its URI,
+	// header or body.
 	CrashMarker string `json:"crash_marker,omitempty"`
-	// Delay is added to the time of each request.
+	// Delay is added to the service time of each request.
 	Delay fault.Duration `json:"delay,omitempty"`
-	// IgnoreCancel keeps requests running whose caller has gone.
+	// IgnoreCancel keeps requests running after their caller has disconnected.
 	IgnoreCancel bool `json:"ignore_cancel,omitempty"`
-	// Truncate is how many of the next answers break off half way.
+	// Truncate is how many of the next responses are cut off half way.
 	Truncate int `json:"truncate,omitempty"`
-	// Cross is how many of the next answers carry another request's id.
+	// Cross is how many of the next responses carry another request's ID.
 	Cross int `json:"cross,omitempty"`
-	// NoEcho leaves the request id out of the answers' headers.
+	// NoEcho omits the request ID from the header of responses.
 	NoEcho bool `json:"no_echo,omitempty"`
-	// LoseAnswers is how many of the next requests run without an answer.
+	// LoseAnswers is how many of the next requests run without a response.
 	LoseAnswers int `json:"lose_answers,omitempty"`
-	// Crash crashes the target at once.
+	// Crash crashes the target immediately.
 	Crash bool `json:"crash,omitempty"`
-	// Restart starts a crashed target again.
+	// Restart restarts a crashed target.
 	Restart bool `json:"restart,omitempty"`
 }
 
-// SetFaults replaces all faults.
+// SetFaults replaces all faults. Crash and Restart are executed, not kept.
 func (s *Server) SetFaults(f Faults) {
 	crash, restart := f.Crash, f.Restart
 	f.Crash, f.Restart = false, false
 	s.mu.Lock()
 	s.faults = f
-	s.note(time.Now())
+	s.recordReport(time.Now())
 	s.mu.Unlock()
 	if crash {
 		s.Crash()
@@ -56,23 +56,25 @@
 	}
 }
 
-// Faults returns the present faults; counts show what remains of them.
+// Faults returns the current faults. Fields that count responses hold how many
+// remain.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// answerFault is how the answer to one request goes wrong.
-type answerFault struct {
+// responseFault holds the faults of the response to one request.
+type responseFault struct {
 	truncate, lose, noEcho bool
-	// crossID replaces the request's id where it is not empty.
+	// crossID replaces the request's ID unless it is empty.
 	crossID string
 }
 
-// nextAnswerFault uses up the counted faults; s.mu is held.
-func (s *Server) nextAnswerFault(id string) answerFault {
-	f := answerFault{noEcho: s.faults.NoEcho}
+// nextResponseFault returns the faults of the response to request id. It
+// decrements the counter of the fault that it applies; s.mu is held.
+func (s *Server) nextResponseFault(id string) responseFault {
+	f := responseFault{noEcho: s.faults.NoEcho}
 	switch {
 	case s.faults.Truncate > 0:
 		s.faults.Truncate--
@@ -82,16 +84,16 @@
 		f.lose = true
 	case s.faults.Cross > 0:
 		s.faults.Cross--
-		f.crossID = s.lastID
+		f.crossID = s.lastRequestID
 		if f.crossID == "" || f.crossID == id {
 			f.crossID = "another-request"
 		}
 	}
-	s.lastID = id
+	s.lastRequestID = id
 	return f
 }
 
-// report is what /load and /healthz tell from an instant on.
+// report is the state that /load and /healthz return from a point in time on.
 type report struct {
 	at      time.Time
 	running int
@@ -99,8 +101,8 @@
 	healthy bool
 }
 
-// note records a change of what is reported; s.mu is held.
-func (s *Server) note(now time.Time) {
+// recordReport appends a report of the current state; s.mu is held.
+func (s *Server) recordReport(now time.Time) {
 	r := report{at: now, running: s.running, state: StateOK, healthy: !s.faults.Unhealthy}
 	switch {
 	case s.faults.Draining:
@@ -118,8 +120,9 @@
 	}
 }
 
-// visible returns the report that is ReportLag old.
-func (s *Server) visible(now time.Time) report {
+// visibleReport returns the newest report that is at least ReportLag old, or the
+// oldest one if there is none.
+func (s *Server) visibleReport(now time.Time) report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := len(s.reports) - 1; i > 0; i-- {
@@ -131,7 +134,7 @@
 }
 
 func (s *Server) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	r := s.visible(time.Now())
+	r := s.visibleReport(time.Now())
 	admin.Answer(w, struct {
 		Running int   `json:"running"`
 		Slots   int   `json:"slots"`
@@ -140,9 +143,9 @@
 }
 
 func (s *Server) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	if !s.visible(time.Now()).healthy {
+	if !s.visibleReport(time.Now()).healthy {
 		http.Error(w, "unhealthy", http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = w.Write([]byte("ok\n")) // the client may have left
+	_, _ = w.Write([]byte("ok\n")) // the client may have disconnected
 }
--- a/pkg/standin/target/ledger.go
+++ b/pkg/standin/target/ledger.go
@@ -10,13 +10,13 @@
 	"crocusramp.dev/crocusramp/pkg/standin/internal/admin"
 )
 
-// maxEntries bounds the requests that a ledger keeps.
+// maxEntries bounds the number of requests that a ledger keeps.
 const maxEntries = 1 << 20
 
 // Ending is how a request ended on the target.
 type Ending string
 
-// The endings of requests.
+// The values of Ending.
 const (
 	EndingRunning   Ending = "running"
 	EndingDone      Ending = "done"
@@ -27,14 +27,14 @@
 	EndingCrashed   Ending = "crashed"
 )
 
-// Entry is one request that ran on the target.
+// Entry describes one request that ran on the target.
 type Entry struct {
 	RequestID      string `json:"request_id"`
 	IdempotencyKey string `json:"idempotency_key,omitempty"`
 	Account        string `json:"account,omitempty"`
 	Method         string `json:"method"`
 	Path           string `json:"path"`
-	// At is when the request started to run.
+	// At is when the request started running.
 	At     time.Time `json:"at"`
 	Ending Ending    `json:"ending"`
 }
@@ -43,17 +43,17 @@
 type Record struct {
 	Target string `json:"target"`
 	Slots  int    `json:"slots"`
-	// PeakRunning is the highest number of requests that ran at once.
+	// PeakRunning is the highest number of requests that ran at the same time.
 	PeakRunning int `json:"peak_running"`
-	// Shed counts the requests that came while all slots were taken.
+	// Shed counts the requests that were shed because all slots were in use.
 	Shed int `json:"shed"`
-	// KeysSeen counts the requests that held a client account key.
+	// KeysSeen counts the requests that contained a client account key.
 	KeysSeen int `json:"keys_seen"`
 	// Dropped counts the requests that ran after the ledger was full.
 	Dropped int `json:"dropped,omitempty"`
-	// Entries holds the requests that ran, in order of their start.
+	// Entries holds the requests that ran, in the order in which they started.
 	Entries []Entry `json:"entries"`
-	// IdempotencyKeys counts the runs of each idempotency key.
+	// IdempotencyKeys counts how often a request with each idempotency key ran.
 	IdempotencyKeys map[string]int `json:"idempotency_keys"`
 }
 
@@ -78,8 +78,8 @@
 	return r
 }
 
-// start records a request that runs beside running-1 others and returns its
-// index.
+// start records a request that starts as one of running concurrent requests. It
+// returns the index of the request's entry, or -1 if the ledger is full.
 func (l *Ledger) start(e Entry, running int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,13 +103,13 @@
 	}
 }
 
-func (l *Ledger) shed() {
+func (l *Ledger) countShed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.record.Shed++
 }
 
-func (l *Ledger) keySeen() {
+func (l *Ledger) countKeySeen() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.record.KeysSeen++
--- a/pkg/standin/target/request.go
+++ b/pkg/standin/target/request.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// headerRequestID carries the id that the answer must echo.
+	// headerRequestID carries the request ID that the response must echo.
 	headerRequestID = "X-Request-Id"
-	// headerShed marks refusals of requests that did not run.
+	// headerShed marks responses to requests that were shed without running.
 	headerShed = "X-Shed"
 	shedNotRun = "not-run"
-	// keyPrefix begins every client account key.
+	// keyPrefix is the prefix of every client account key.
 	keyPrefix = "crk_"
-	// bodyChunkBytes is how much of a body is read at a time.
+	// bodyChunkBytes is the size of a single read from a body.
 	bodyChunkBytes = 32 << 10
 )
 
-// answer is the JSON body of an answer.
-type answer struct {
+// responseBody is the JSON body of a response.
+type responseBody struct {
 	Target    string      `json:"target"`
 	RequestID string      `json:"request_id"`
 	Account   string      `json:"account"`
@@ -36,42 +36,42 @@
 	Headers   http.Header `json:"headers"`
 }
 
-// run is one request that holds a slot.
-type run struct {
-	entry   int
-	service time.Duration
-	ignore  bool // keep running when the caller has gone
-	marker  string
-	answer  answerFault
+// runningRequest is a request that holds a slot.
+type runningRequest struct {
+	ledgerIndex  int
+	serviceTime  time.Duration
+	ignoreCancel bool // keep running after the caller has disconnected
+	crashMarker  string
+	fault        responseFault
 }
 
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request) {
-	current, ok := s.take(r)
+	req, ok := s.acquireSlot(r)
 	if !ok {
-		s.ledger.shed()
+		s.ledger.countShed()
 		w.Header().Set(headerShed, shedNotRun)
-		echo(w, r.Header.Get(headerRequestID))
+		echoRequestID(w, r.Header.Get(headerRequestID))
 		http.Error(w, "all slots are taken", http.StatusServiceUnavailable)
 		return
 	}
-	ending := EndingCrashed // where a panic or a crash ends the request
-	release := sync.OnceFunc(s.release)
+	ending := EndingCrashed // if a panic or a crash ends the request
+	release := sync.OnceFunc(s.releaseSlot)
 	defer func() {
-		s.ledger.end(current.entry, ending)
+		s.ledger.end(req.ledgerIndex, ending)
 		release()
 	}()
-	scan := newScanner(current.marker)
-	scan.header(r)
-	size, err := scan.body(r.Body)
-	if scan.keySeen {
-		s.ledger.keySeen()
+	requestScanner := newScanner(req.crashMarker)
+	requestScanner.scanHeader(r)
+	size, err := requestScanner.scanBody(r.Body)
+	if requestScanner.keySeen {
+		s.ledger.countKeySeen()
 	}
-	if scan.markerSeen {
+	if requestScanner.markerSeen {
 		s.Crash()
 		admin.Drop(w)
 		return
 	}
-	if err != nil || !s.work(r, current) {
+	if err != nil || !s.waitServiceTime(r, req) {
 		ending = EndingCancelled
 		admin.Drop(w)
 		return
@@ -80,30 +80,31 @@
 		admin.Drop(w)
 		return
 	}
-	// The slot is free before the caller has the answer: its next request may
-	// arrive at once.
+	// Release the slot before the caller has the response, since its next request
+	// may follow immediately.
 	release()
-	ending = s.answer(w, r, current.answer, size)
+	ending = s.respond(w, r, req.fault, size)
 }
 
-// take claims a slot.
-func (s *Server) take(r *http.Request) (run, bool) {
+// acquireSlot takes a slot for a request and records the request in the ledger.
+// It reports false if the request must be shed.
+func (s *Server) acquireSlot(r *http.Request) (runningRequest, bool) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running >= s.config.Slots && !s.faults.Overcommit {
-		return run{}, false
+		return runningRequest{}, false
 	}
 	s.running++
-	c := run{
-		service: s.serviceTime() + time.Duration(s.faults.Delay),
-		ignore:  s.faults.IgnoreCancel,
-		marker:  s.faults.CrashMarker,
-		answer:  s.nextAnswerFault(r.Header.Get(headerRequestID)),
+	req := runningRequest{
+		serviceTime:  s.serviceTime() + time.Duration(s.faults.Delay),
+		ignoreCancel: s.faults.IgnoreCancel,
+		crashMarker:  s.faults.CrashMarker,
+		fault:        s.nextResponseFault(r.Header.Get(headerRequestID)),
 	}
 	s.started++
-	s.note(now)
-	c.entry = s.ledger.start(Entry{
+	s.recordReport(now)
+	req.ledgerIndex = s.ledger.start(Entry{
 		RequestID:      r.Header.Get(headerRequestID),
 		IdempotencyKey: r.Header.Get("Idempotency-Key"),
 		Account:        r.Header.Get(s.config.AccountHeader),
@@ -112,22 +113,22 @@
 		At:             now,
 		Ending:         EndingRunning,
 	}, s.running)
-	return c, true
+	return req, true
 }
 
-func (s *Server) release() {
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
-	s.note(time.Now())
+	s.recordReport(time.Now())
 }
 
-// work takes the request's service time. It reports false where the caller
-// went away before.
-func (s *Server) work(r *http.Request, c run) bool {
-	timer := time.NewTimer(c.service)
+// waitServiceTime waits for the request's service time. It reports false if the
+// caller disconnects earlier.
+func (s *Server) waitServiceTime(r *http.Request, req runningRequest) bool {
+	timer := time.NewTimer(req.serviceTime)
 	defer timer.Stop()
-	if c.ignore {
+	if req.ignoreCancel {
 		<-timer.C
 		return true
 	}
@@ -139,15 +140,16 @@
 	}
 }
 
-// echo names the request that is answered.
-func echo(w http.ResponseWriter, id string) {
+// echoRequestID sets the response header to the ID of its request.
+func echoRequestID(w http.ResponseWriter, id string) {
 	if id != "" {
 		w.Header().Set(headerRequestID, id)
 	}
 }
 
-// answer writes the answer with what is wrong with it.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, f answerFault, size int64) Ending {
+// respond writes the response, with the faults in f, and returns how the request
+// ended.
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, f responseFault, size int64) Ending {
 	if f.lose {
 		admin.Drop(w)
 		return EndingLost
@@ -156,7 +158,7 @@
 	if f.crossID != "" {
 		id, ending = f.crossID, EndingCrossed
 	}
-	body, err := json.Marshal(answer{
+	body, err := json.Marshal(responseBody{
 		Target: s.config.Name, RequestID: id, Account: r.Header.Get(s.config.AccountHeader),
 		Method: r.Method, Path: r.URL.Path, BodyBytes: size, Headers: r.Header,
 	})
@@ -165,7 +167,7 @@
 	}
 	body = append(body, '\n')
 	if !f.noEcho {
-		echo(w, id)
+		echoRequestID(w, id)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -175,11 +177,11 @@
 		admin.Drop(w)
 		return EndingTruncated
 	}
-	_, _ = w.Write(body) // the caller may have left
+	_, _ = w.Write(body) // the caller may have disconnected
 	return ending
 }
 
-// scanner looks for the key prefix and the crash marker in a request.
+// scanner searches a request for the key prefix and the crash marker.
 type scanner struct {
 	marker              string
 	keySeen, markerSeen bool
@@ -187,27 +189,28 @@
 
 func newScanner(marker string) *scanner { return &scanner{marker: marker} }
 
-func (s *scanner) text(data []byte) {
+func (s *scanner) scan(data []byte) {
 	s.keySeen = s.keySeen || bytes.Contains(data, []byte(keyPrefix))
 	s.markerSeen = s.markerSeen || s.marker != "" && bytes.Contains(data, []byte(s.marker))
 }
 
-func (s *scanner) header(r *http.Request) {
-	s.text([]byte(r.URL.RequestURI()))
+func (s *scanner) scanHeader(r *http.Request) {
+	s.scan([]byte(r.URL.RequestURI()))
 	for name, values := range r.Header {
-		s.text([]byte(name + ": " + strings.Join(values, ", ")))
+		s.scan([]byte(name + ": " + strings.Join(values, ", ")))
 	}
 }
 
-// body reads a whole body. Chunks overlap, so that nothing hides at their ends.
-func (s *scanner) body(body io.Reader) (size int64, err error) {
+// scanBody reads a whole body and returns its size. Chunks overlap so that a match
+// across two of them is found.
+func (s *scanner) scanBody(body io.Reader) (size int64, err error) {
 	overlap := max(len(keyPrefix), len(s.marker))
 	buffer := make([]byte, overlap+bodyChunkBytes)
 	kept := 0
 	for {
 		n, err := body.Read(buffer[kept:])
 		size += int64(n)
-		s.text(buffer[:kept+n])
+		s.scan(buffer[:kept+n])
 		if err == io.EOF {
 			return size, nil
 		}
--- a/pkg/standin/target/target.go
+++ b/pkg/standin/target/target.go
@@ -1,6 +1,6 @@
 // Package target is a stand-in for a target: an HTTP server that runs a bounded
-// number of requests at once, sheds the rest, keeps a ledger of what reached
-// it, and misbehaves on demand.
+// number of requests concurrently, sheds the rest, keeps a ledger of the requests
+// that reached it, and can inject faults.
 package target
 
 import (
@@ -15,19 +15,19 @@
 	"crocusramp.dev/crocusramp/pkg/standin/internal/admin"
 )
 
-// Distribution is how service times are spread about their mean.
+// Distribution is the distribution of service times.
 type Distribution string
 
-// The distributions of service times.
+// The values of Distribution.
 const (
 	Fixed       Distribution = "fixed"
 	Exponential Distribution = "exponential"
 )
 
-// State is what a target reports of itself.
+// State is the state that a target reports on /load.
 type State string
 
-// The states of a target.
+// The values of State.
 const (
 	StateOK       State = "ok"
 	StateCold     State = "cold"
@@ -41,46 +41,49 @@
 
 // Config describes a target.
 type Config struct {
-	// Name is what the target calls itself in its answers.
+	// Name identifies the target in its responses.
 	Name string
-	// Slots is how many requests run at once; 0 means 9. More are shed.
+	// Slots is how many requests run concurrently; 0 means 9. Others are shed.
 	Slots int
-	// ServiceTime is the mean time that a request runs for.
+	// ServiceTime is the mean service time of a request.
 	ServiceTime time.Duration
-	// Distribution spreads the service times; empty means Fixed.
+	// Distribution is the distribution of service times; empty means Fixed.
 	Distribution Distribution
-	// Seed starts the generator of service times.
+	// Seed seeds the random generator of service times.
 	Seed uint64
-	// ColdRequests is how many requests run ColdFactor times as long after a start.
+	// ColdRequests is how many requests after a start take ColdFactor times as
+	// long.
 	ColdRequests int
 	ColdFactor   float64
-	// ReportLag is how old the answers of /load and /healthz are.
+	// ReportLag is the age of the state that /load and /healthz report.
 	ReportLag time.Duration
-	// AccountHeader names the client account; empty means X-Client-Account.
+	// AccountHeader is the header that holds the client account; empty means
+	// X-Client-Account.
 	AccountHeader string
-	// RestartAfter is when a crashed target listens again; 0 means never.
+	// RestartAfter is the time after a crash until the target listens again; 0
+	// means never.
 	RestartAfter time.Duration
 }
 
-// Server is a target.
+// Server is a stand-in target.
 type Server struct {
 	config Config
 	ledger *Ledger
 
-	mu       sync.Mutex
-	faults   Faults
-	random   *rand.Rand
-	started  int // requests since the last start
-	running  int
-	crashed  bool
-	lastID   string
-	reports  []report
-	listener *http.Server
-	closed   bool
-	wake     chan struct{} // closed when closed or crashed changes
+	mu            sync.Mutex
+	faults        Faults
+	rng           *rand.Rand
+	started       int // requests started since the last start of the target
+	running       int
+	crashed       bool
+	lastRequestID string
+	reports       []report
+	httpServer    *http.Server
+	closed        bool
+	stateChanged  chan struct{} // closed and replaced when closed or crashed changes
 }
 
-// New returns a target that runs no request yet.
+// New returns a target.
 func New(config Config) *Server {
 	if config.Slots == 0 {
 		config.Slots = defaultSlots
@@ -89,20 +92,20 @@
 		config.AccountHeader = defaultAccountHeader
 	}
 	s := &Server{
-		config: config,
-		ledger: newLedger(config.Name, config.Slots),
-		random: rand.New(rand.NewPCG(config.Seed, config.Seed)),
-		wake:   make(chan struct{}),
+		config:       config,
+		ledger:       newLedger(config.Name, config.Slots),
+		rng:          rand.New(rand.NewPCG(config.Seed, config.Seed)),
+		stateChanged: make(chan struct{}),
 	}
-	s.note(time.Now())
+	s.recordReport(time.Now())
 	return s
 }
 
-// Ledger returns the record of the requests that reached the target.
+// Ledger returns the ledger of the requests that reached the target.
 func (s *Server) Ledger() *Ledger { return s.ledger }
 
-// Handler returns the target: its own endpoints are /load, /healthz, /ledger
-// and /fault; every other path is a request to run.
+// Handler returns the HTTP handler. It serves /load, /healthz, /ledger and
+// /fault, and runs every other path as a request.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/load", s.serveLoad)
@@ -119,12 +122,12 @@
 	})
 }
 
-// Serve answers connections of l until Close. After a crash it listens again
-// on l's address once the target restarts.
+// Serve serves connections of l until Close. After a crash it listens on l's
+// address again once the target restarts.
 func (s *Server) Serve(l net.Listener) error {
 	address := l.Addr().String()
 	for {
-		server, wake := s.startListener()
+		server, stateChanged := s.newHTTPServer()
 		if server == nil {
 			l.Close()
 			return nil
@@ -134,8 +137,8 @@
 			return err
 		}
 		for s.isCrashed() {
-			<-wake
-			_, wake = s.state()
+			<-stateChanged
+			_, stateChanged = s.state()
 		}
 		if closed, _ := s.state(); closed {
 			return nil
@@ -151,14 +154,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed, s.crashed = true, false
-	s.signal()
-	if s.listener != nil {
-		return s.listener.Close()
+	s.notifyServe()
+	if s.httpServer != nil {
+		return s.httpServer.Close()
 	}
 	return nil
 }
 
-// Crash closes the listener and every connection: requests that run are lost.
+// Crash closes the listener and all connections. Running requests are lost.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,16 +169,16 @@
 		return
 	}
 	s.crashed = true
-	s.signal()
-	if s.listener != nil {
-		s.listener.Close() // the error concerns a listener that is gone anyway
+	s.notifyServe()
+	if s.httpServer != nil {
+		s.httpServer.Close() // a failure to close changes nothing for the callers
 	}
 	if s.config.RestartAfter > 0 {
 		time.AfterFunc(s.config.RestartAfter, s.Restart)
 	}
 }
 
-// Restart starts a crashed target again, cold.
+// Restart restarts a crashed target, which is cold again.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,13 +186,13 @@
 		return
 	}
 	s.crashed, s.started = false, 0
-	s.signal()
+	s.notifyServe()
 }
 
-// signal wakes Serve; s.mu is held.
-func (s *Server) signal() {
-	close(s.wake)
-	s.wake = make(chan struct{})
+// notifyServe wakes up Serve; s.mu is held.
+func (s *Server) notifyServe() {
+	close(s.stateChanged)
+	s.stateChanged = make(chan struct{})
 }
 
 func (s *Server) isCrashed() bool {
@@ -198,28 +201,29 @@
 	return s.crashed
 }
 
-func (s *Server) state() (closed bool, wake chan struct{}) {
+func (s *Server) state() (closed bool, stateChanged chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closed, s.wake
+	return s.closed, s.stateChanged
 }
 
-// startListener returns the server of the next life, or nil once closed.
-func (s *Server) startListener() (*http.Server, chan struct{}) {
+// newHTTPServer returns the HTTP server until the next crash, and the channel
+// that reports the next state change. It returns nil if the target is closed.
+func (s *Server) newHTTPServer() (*http.Server, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return nil, nil
 	}
-	s.listener = &http.Server{Handler: s.Handler()}
-	return s.listener, s.wake
+	s.httpServer = &http.Server{Handler: s.Handler()}
+	return s.httpServer, s.stateChanged
 }
 
-// serviceTime draws how long the next request runs; s.mu is held.
+// serviceTime draws the service time of the next request; s.mu is held.
 func (s *Server) serviceTime() time.Duration {
 	d := float64(s.config.ServiceTime)
 	if s.config.Distribution == Exponential {
-		d *= s.random.ExpFloat64()
+		d *= s.rng.ExpFloat64()
 	}
 	if s.started < s.config.ColdRequests {
 		d *= s.config.ColdFactor
--- a/pkg/standin/target/target_test.go
+++ b/pkg/standin/target/target_test.go
@@ -18,13 +18,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bound is how long a test waits for what must happen.
-const bound = 20 * time.Second
+// waitTimeout bounds how long a test waits for a condition or a response.
+const waitTimeout = 20 * time.Second
 
-// client opens a connection for each request, so that it leaves nothing behind.
-var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: bound}
+// client opens a new connection for each request, so that no idle connection
+// fails the goroutine leak check.
+var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
 
-func send(t *testing.T, url, id string, body io.Reader) (*http.Response, answer, error) {
+func send(t *testing.T, url, id string, body io.Reader) (*http.Response, responseBody, error) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, url+"/filing?q=1", body)
 	if err != nil {
@@ -35,32 +36,32 @@
 	r.Header.Set(defaultAccountHeader, "aretusa")
 	resp, err := client.Do(r)
 	if err != nil {
-		return nil, answer{}, err
+		return nil, responseBody{}, err
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	var a answer
+	var a responseBody
 	if resp.StatusCode == http.StatusOK && err == nil {
 		err = json.Unmarshal(data, &a)
 	}
 	return resp, a, err
 }
 
-func TestAnswerAndLedger(t *testing.T) {
+func TestResponseAndLedger(t *testing.T) {
 	s := New(Config{Name: "t1"})
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
 	resp, a, err := send(t, server.URL, "r1", strings.NewReader("12345"))
 	if err != nil || a.Target != "t1" || a.RequestID != "r1" || a.BodyBytes != 5 || a.Path != "/filing" || a.Account != "aretusa" {
-		t.Fatalf("answer %+v: %v", a, err)
+		t.Fatalf("response %+v, error %v", a, err)
 	}
 	if got := resp.Header.Get(headerRequestID); got != "r1" {
-		t.Errorf("echoed id %q", got)
+		t.Errorf("echoed request ID %q, want r1", got)
 	}
 	waitEndings(t, s, EndingDone)
 	r := s.Ledger().Record()
 	if r.IdempotencyKeys["idem-r1"] != 1 || r.KeysSeen != 0 {
-		t.Errorf("ledger %+v", r)
+		t.Errorf("ledger %+v, want one run of idem-r1 and no key seen", r)
 	}
 }
 
@@ -81,7 +82,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if resp.Header.Get(headerRequestID) != "r" {
-				t.Error("the answer does not name the request")
+				t.Error("the response does not echo the request ID")
 			}
 			if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(headerShed) == shedNotRun {
 				shed++
@@ -91,46 +92,46 @@
 	wg.Wait()
 	r := s.Ledger().Record()
 	if r.PeakRunning > 2 || r.Shed != shed || len(r.Entries)+shed != 6 {
-		t.Errorf("peak %d, shed %d of which callers saw %d, ran %d", r.PeakRunning, r.Shed, shed, len(r.Entries))
+		t.Errorf("peak %d running, %d shed of which callers saw %d, %d ran; want at most 2 running, equal shed counts and 6 in total", r.PeakRunning, r.Shed, shed, len(r.Entries))
 	}
 }
 
-func TestKeysAreSeenAcrossChunks(t *testing.T) {
-	for _, lead := range []int{0, bodyChunkBytes - 2, bodyChunkBytes - 1, 3*bodyChunkBytes - 3} {
+func TestScannerFindsKeysAcrossChunks(t *testing.T) {
+	for _, offset := range []int{0, bodyChunkBytes - 2, bodyChunkBytes - 1, 3*bodyChunkBytes - 3} {
 		s := newScanner("")
-		size, err := s.body(strings.NewReader(strings.Repeat("x", lead) + "crk_abc"))
-		if err != nil || size != int64(lead+7) || !s.keySeen {
-			t.Errorf("lead %d: size %d, seen %v, %v", lead, size, s.keySeen, err)
+		size, err := s.scanBody(strings.NewReader(strings.Repeat("x", offset) + "crk_abc"))
+		if err != nil || size != int64(offset+7) || !s.keySeen {
+			t.Errorf("key after %d bytes: size %d, key seen %v, error %v", offset, size, s.keySeen, err)
 		}
 	}
 	s := newScanner("")
-	if _, err := s.body(strings.NewReader(strings.Repeat("crk", 40000))); err != nil || s.keySeen {
-		t.Errorf("seen %v, %v", s.keySeen, err)
+	if _, err := s.scanBody(strings.NewReader(strings.Repeat("crk", 40000))); err != nil || s.keySeen {
+		t.Errorf("body without a key: key seen %v, error %v", s.keySeen, err)
 	}
 }
 
-func TestBadAnswers(t *testing.T) {
+func TestResponseFaults(t *testing.T) {
 	s := New(Config{Name: "t1"})
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
 	s.SetFaults(Faults{Truncate: 1})
 	if _, _, err := send(t, server.URL, "r1", nil); err == nil {
-		t.Error("truncated answer read as whole")
+		t.Error("truncated response was read without an error")
 	}
 	s.SetFaults(Faults{LoseAnswers: 1})
 	if _, _, err := send(t, server.URL, "r2", nil); err == nil {
-		t.Error("lost answer arrived")
+		t.Error("lost response arrived")
 	}
 	s.SetFaults(Faults{Cross: 1})
 	resp, a, err := send(t, server.URL, "r3", nil)
 	if err != nil || a.RequestID == "r3" || resp.Header.Get(headerRequestID) == "r3" {
-		t.Errorf("answer not crossed: %+v, %v", a, err)
+		t.Errorf("response carries the ID of its own request: %+v, error %v", a, err)
 	}
 	waitEndings(t, s, EndingTruncated, EndingLost, EndingCrossed)
 }
 
-// waitEndings waits until the ledger holds requests that ended so. An answer
-// can arrive before the ledger shows its end.
+// waitEndings waits until the requests in the ledger have the endings in want. A
+// response can arrive before the ledger records the request's ending.
 func waitEndings(t *testing.T, s *Server, want ...Ending) {
 	t.Helper()
 	waitFor(t, func() bool {
@@ -149,19 +150,19 @@
 	url := "http://" + l.Addr().String()
 	s.SetFaults(Faults{CrashMarker: "poison"})
 	if _, _, err := send(t, url, "r1", strings.NewReader("some poison here")); err == nil {
-		t.Error("the crash was answered")
+		t.Error("the request that crashed the target got a response")
 	}
 	if _, _, err := send(t, url, "r2", nil); err == nil {
-		t.Error("a crashed target answered")
+		t.Error("a crashed target responded")
 	}
 	s.Restart()
-	deadline := time.Now().Add(bound)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		if _, a, err := send(t, url, "r3", nil); err == nil && a.RequestID == "r3" {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("not back after a restart")
+			t.Fatal("target does not respond after its restart")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -172,7 +173,7 @@
 	}
 }
 
-func TestCancelledRequestLeavesSlot(t *testing.T) {
+func TestCancelledRequestReleasesSlot(t *testing.T) {
 	s := New(Config{Name: "t1", Slots: 1, ServiceTime: time.Hour})
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
@@ -180,35 +181,35 @@
 	r, _ := http.NewRequestWithContext(ctx, http.MethodGet, server.URL, nil)
 	ended := make(chan struct{})
 	go func() { _, _ = client.Do(r); close(ended) }()
-	waitFor(t, func() bool { return s.visible(time.Now()).running == 1 })
+	waitFor(t, func() bool { return s.visibleReport(time.Now()).running == 1 })
 	cancel()
 	<-ended
-	waitFor(t, func() bool { return s.visible(time.Now()).running == 0 })
+	waitFor(t, func() bool { return s.visibleReport(time.Now()).running == 0 })
 	waitEndings(t, s, EndingCancelled)
 }
 
 func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(bound); !condition(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("condition not met")
+			t.Fatal("condition not met in time")
 		}
 	}
 }
 
-func TestReportsLagAndLie(t *testing.T) {
+func TestReportLagAndReportRunning(t *testing.T) {
 	s := New(Config{Name: "t1", ReportLag: time.Minute, ColdRequests: 1, ColdFactor: 2})
 	start := time.Now()
 	s.SetFaults(Faults{Draining: true})
-	if got := s.visible(start).state; got != StateCold {
-		t.Errorf("before the lag: %q", got)
+	if got := s.visibleReport(start).state; got != StateCold {
+		t.Errorf("before the lag: state %q, want cold", got)
 	}
-	if got := s.visible(start.Add(2 * time.Minute)).state; got != StateDraining {
-		t.Errorf("after the lag: %q", got)
+	if got := s.visibleReport(start.Add(2 * time.Minute)).state; got != StateDraining {
+		t.Errorf("after the lag: state %q, want draining", got)
 	}
-	lie := 7
-	s.SetFaults(Faults{ReportRunning: &lie})
-	if got := s.visible(start.Add(2 * time.Minute)).running; got != lie {
-		t.Errorf("reported %d running", got)
+	reported := 7
+	s.SetFaults(Faults{ReportRunning: &reported})
+	if got := s.visibleReport(start.Add(2 * time.Minute)).running; got != reported {
+		t.Errorf("reported %d running, want 7", got)
 	}
 }
