--- a/internal/child/child.go
+++ b/internal/child/child.go
@@ -1,4 +1,5 @@
-// Package child starts processes that do not outlive the tests, however these end.
+// Package child starts child processes that the kernel kills when the test binary ends, even if it
+// crashes.
 package child
 
 import (
@@ -7,9 +8,10 @@
 	"syscall"
 )
 
-// starts are carried out on one operating-system thread that lives as long as the test
-// binary: the kernel kills the processes when the thread that started them ends.
-var starts = func() chan<- func() {
+// startCalls receives the calls that start processes. They run on one operating-system thread that
+// lives as long as the test binary, because the kernel delivers Pdeathsig when the thread that
+// started a process ends.
+var startCalls = func() chan<- func() {
 	c := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -20,10 +22,10 @@
 	return c
 }()
 
-// Start starts cmd.
+// Start starts cmd. It replaces cmd.SysProcAttr.
 func Start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error, 1)
-	starts <- func() { started <- cmd.Start() }
+	startCalls <- func() { started <- cmd.Start() }
 	return <-started
 }
