--- a/cmd/crocusramp/main.go
+++ b/cmd/crocusramp/main.go
@@ -1,4 +1,4 @@
-// Command crocusramp is the operators' client.
+// Command crocusramp is the command-line client of the operators' API.
 package main
 
 import (
