--- a/test/capacity/fleet_test.go
+++ b/test/capacity/fleet_test.go
@@ -1,4 +1,4 @@
-// Package capacity measures what a fleet of idle VMs spends on control, for
+// Package capacity measures the control overhead of a fleet of idle VMs, for
 // docs/CAPACITY.md.
 package capacity
 
@@ -27,18 +27,18 @@
 
 const (
 	anyPort = "127.0.0.1:0"
-	// settle is how long a fleet runs before it is measured.
-	settle = 8 * time.Second
-	// measured is how long the measurement takes.
-	measured = 10 * time.Second
-	regions  = 3
-	domains  = 2
+	// warmUp is how long a fleet runs before it is measured.
+	warmUp = 8 * time.Second
+	// measurePeriod is how long the measurement takes.
+	measurePeriod = 10 * time.Second
+	regions       = 3
+	domains       = 2
 )
 
-// accounts is the number of client accounts that a fleet knows.
+// accounts is the number of client accounts in a fleet.
 const accounts = 8
 
-// fleet is n daemons and their platform in this process.
+// fleet holds the daemons and their platform, which run in this process.
 type fleet struct {
 	store     *standin.Store
 	operators string
@@ -50,19 +50,19 @@
 func startFleet(b *testing.B, n int) *fleet {
 	b.Helper()
 	f := &fleet{store: standin.New(), operators: freeport.Address(b), ended: make(chan error, n)}
-	list := directory.New()
-	store := httptest.NewServer(f.store.Handler())
-	vms := httptest.NewServer(list.Handler())
-	b.Cleanup(func() { store.Close(); vms.Close() })
-	names := []string{}
+	vmList := directory.New()
+	storeServer := httptest.NewServer(f.store.Handler())
+	directoryServer := httptest.NewServer(vmList.Handler())
+	b.Cleanup(func() { storeServer.Close(); directoryServer.Close() })
+	regionNames := []string{}
 	for r := range regions {
-		names = append(names, fmt.Sprint("region-", r))
+		regionNames = append(regionNames, fmt.Sprint("region-", r))
 	}
-	var entries []storage.VM
+	var vmEntries []storage.VM
 	ctx, cancel := context.WithCancel(context.Background())
 	f.stop = cancel
 	for i := range n {
-		region := names[i%regions]
+		region := regionNames[i%regions]
 		operators := anyPort
 		if i == 0 {
 			operators = f.operators
@@ -70,10 +70,10 @@
 		text, err := json.Marshal(settings.Settings{
 			VM:      settings.VM{ID: fmt.Sprintf("vm-%03d", i), Region: region, FailureDomain: fmt.Sprint(region, "-", i/regions%domains)},
 			Listen:  settings.Listen{Callers: anyPort, Operators: operators, Peers: anyPort},
-			Regions: names,
+			Regions: regionNames,
 			Slots:   max(16, 2*n),
 			Platform: settings.Platform{
-				Store: settings.Store{Address: store.Listener.Addr().String()}, Directory: settings.Directory{URL: vms.URL + "/"},
+				Store: settings.Store{Address: storeServer.Listener.Addr().String()}, Directory: settings.Directory{URL: directoryServer.URL + "/"},
 			},
 			Stop: settings.Stop{Notice: settings.Duration{Duration: time.Millisecond}},
 		})
@@ -89,9 +89,9 @@
 			b.Fatal(err)
 		}
 		f.daemons = append(f.daemons, d)
-		entries = append(entries, storage.VM{ID: s.VM.ID, PeerAddress: d.PeerAddress(), State: storage.VMLive})
+		vmEntries = append(vmEntries, storage.VM{ID: s.VM.ID, PeerAddress: d.PeerAddress(), State: storage.VMLive})
 	}
-	list.Set(entries)
+	vmList.Set(vmEntries)
 	for _, d := range f.daemons {
 		go func() { f.ended <- d.Run(ctx) }()
 	}
@@ -106,7 +106,8 @@
 	return f
 }
 
-// createAccounts makes client accounts once the fleet accepts changes.
+// createAccounts creates the client accounts. It retries until the fleet accepts
+// changes.
 func (f *fleet) createAccounts(b *testing.B) {
 	b.Helper()
 	client := operatorpb.NewAccountsProtobufClient("http://"+f.operators, http.DefaultClient)
@@ -126,8 +127,8 @@
 	}
 }
 
-// count adds up counters over all VMs.
-func (f *fleet) count(names ...string) float64 {
+// sumCounters returns the sum of the named counters over all VMs.
+func (f *fleet) sumCounters(names ...string) float64 {
 	sum := int64(0)
 	for _, d := range f.daemons {
 		for _, name := range names {
@@ -137,10 +138,11 @@
 	return float64(sum)
 }
 
-// peerBytes is what the VMs received from each other and answered.
-func (f *fleet) peerBytes() float64 { return f.count("peer.bytes_received", "peer.bytes_sent") }
+// peerBytes returns how many bytes the VMs received and sent on their peer
+// listeners.
+func (f *fleet) peerBytes() float64 { return f.sumCounters("peer.bytes_received", "peer.bytes_sent") }
 
-func cpu(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
@@ -148,29 +150,29 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkIdleFleet reports what each VM of a fleet without callers spends a
-// second, the stand-ins' own work included, at four sizes.
+// BenchmarkIdleFleet reports the resources that a fleet without callers uses per
+// second, at four sizes. CPU time and memory include those of the stand-ins.
 func BenchmarkIdleFleet(b *testing.B) {
 	for _, n := range []int{6, 12, 24, 48} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := startFleet(b, n)
 			f.createAccounts(b)
-			time.Sleep(settle)
+			time.Sleep(warmUp)
 			before := f.store.Counts()
-			bytes, loans, used := f.peerBytes(), f.count("limit.collections"), cpu(b)
-			time.Sleep(measured)
-			used = cpu(b) - used
-			bytes, loans = f.peerBytes()-bytes, f.count("limit.collections")-loans
+			bytes, collections, cpuUsed := f.peerBytes(), f.sumCounters("limit.collections"), cpuTime(b)
+			time.Sleep(measurePeriod)
+			cpuUsed = cpuTime(b) - cpuUsed
+			bytes, collections = f.peerBytes()-bytes, f.sumCounters("limit.collections")-collections
 			after := f.store.Counts()
 			var memory runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&memory)
-			seconds := measured.Seconds()
+			seconds := measurePeriod.Seconds()
 			vms := float64(n)
 			b.ReportMetric(0, "ns/op")
-			b.ReportMetric(100*used.Seconds()/seconds/vms, "%core/VM")
+			b.ReportMetric(100*cpuUsed.Seconds()/seconds/vms, "%core/VM")
 			b.ReportMetric(bytes/seconds/vms, "peer-B/s/VM")
-			b.ReportMetric(loans/seconds, "loans/s")
+			b.ReportMetric(collections/seconds, "loans/s")
 			b.ReportMetric(float64(memory.HeapInuse+memory.StackInuse)/vms/(1<<20), "MiB/VM")
 			b.ReportMetric(float64(after.Reads-before.Reads)/seconds, "reads/s")
 			b.ReportMetric(float64(after.Writes-before.Writes)/seconds, "writes/s")
