--- a/test/scenario/call_test.go
+++ b/test/scenario/call_test.go
@@ -19,38 +19,38 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// headerCall marks each request; targets show the headers that they saw, so a
-// caller can tell whether an answer belongs to its own request.
+// headerCall identifies each request. Targets return the headers that they
+// received, so that a caller can check that a response belongs to its request.
 const headerCall = "X-Scenario-Call"
 
-// kind is how a request ended for its caller.
-type kind string
+// resultKind is how a request ended for its caller.
+type resultKind string
 
 const (
-	// kindDone answers came whole from a target.
-	kindDone kind = "done"
-	// kindNotRun and kindUnknown are the system's refusals.
-	kindNotRun  kind = "not_run"
-	kindUnknown kind = "unknown"
-	// kindFailed answers came from a target with an error status.
-	kindFailed kind = "failed"
-	// kindUnreachable requests found nobody listening.
-	kindUnreachable kind = "unreachable"
-	// kindCut requests lost their connection or got half an answer.
-	kindCut kind = "cut"
-	// kindCrossed answers belonged to another request.
-	kindCrossed kind = "crossed"
+	// kindDone is a complete response from a target.
+	kindDone resultKind = "done"
+	// kindNotRun and kindUnknown are refusals by a VM.
+	kindNotRun  resultKind = "not_run"
+	kindUnknown resultKind = "unknown"
+	// kindFailed is any other response with an error status.
+	kindFailed resultKind = "failed"
+	// kindUnreachable is a refused connection.
+	kindUnreachable resultKind = "unreachable"
+	// kindCut is a broken connection or an incomplete response.
+	kindCut resultKind = "cut"
+	// kindCrossed is a response to another request.
+	kindCrossed resultKind = "crossed"
 )
 
-// request is what a caller sends.
+// request holds the parts of a request that scripts choose.
 type request struct {
 	method, key, idempotencyKey, body string
 	header                            []string
 }
 
-// result is what came back.
+// result is the outcome of one attempt to send a request.
 type result struct {
-	kind       kind
+	kind       resultKind
 	status     int
 	reason     string
 	retryAfter time.Duration
@@ -85,8 +85,8 @@
 		req.Header.Set("Authorization", "Bearer "+r.key)
 	}
 	if r.idempotencyKey != "" {
-		// The canonical name would let net/http send the request again by
-		// itself where its connection breaks.
+		// With the canonical header name, net/http would retry the request by
+		// itself after its connection breaks.
 		req.Header["idempotency-key"] = []string{r.idempotencyKey}
 	}
 	for _, h := range r.header {
@@ -109,7 +109,7 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	call := r.idempotencyKey // an answer may be that to an earlier sending
+	call := r.idempotencyKey // the response may be that to an earlier attempt
 	if call == "" {
 		call = rand.Text()
 	}
@@ -131,7 +131,7 @@
 	return res
 }
 
-// classify tells a target's answer from a refusal.
+// classify sets the kind, the reason and the retry delay from the response.
 func (r *result) classify(call string) {
 	var body struct {
 		Outcome string      `json:"outcome"`
@@ -160,37 +160,38 @@
 	}
 }
 
-// shownHeaders are the headers of answers that call prints.
+// shownHeaders are the response headers that call prints.
 var shownHeaders = []string{"Retry-After", "Connection"}
 
-// call sends one request and prints the answer: call [FLAG...] URL. It fails
-// where the answer is not of the kind that -want names.
-func (w *world) call(ts *testscript.TestScript, args []string) error {
+// call sends one request and prints the result: call [FLAG...] URL. It fails if
+// the result is not of the kind given by -want or lacks the status given by
+// -status.
+func (sc *scenario) call(ts *testscript.TestScript, args []string) error {
 	var r request
 	f := flag.NewFlagSet("call", flag.ContinueOnError)
 	f.SetOutput(ts.Stderr())
 	r.flags(f)
-	from := w.callerFlags(f)
-	want := f.String("want", string(kindDone), "kind of answer, or any")
-	status := f.Int("status", 0, "HTTP status of the answer; 0 is any")
+	options := sc.callerFlags(f)
+	want := f.String("want", string(kindDone), "kind of result, or any")
+	status := f.Int("status", 0, "HTTP status of the response; 0 means any")
 	if err := f.Parse(args); err != nil {
 		return err
 	}
-	urls, err := from.resolve(w, &r, f.Args())
+	urls, err := options.resolve(sc, &r, f.Args())
 	if err != nil {
 		return err
 	}
 	client := newCaller(1)
 	defer client.CloseIdleConnections()
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	res := r.send(ctx, client, urls[0])
-	w.values["call.ms"] = float64(res.latency.Milliseconds())
+	sc.values["call.ms"] = float64(res.latency.Milliseconds())
 	text := res.text()
 	fmt.Fprint(ts.Stdout(), text)
-	w.record("call "+strings.Join(args, " "), text)
+	sc.recordCommand("call "+strings.Join(args, " "), text)
 	if *want != "any" && string(res.kind) != *want {
-		return fmt.Errorf("answer was %s, want %s (%v)", res.kind, *want, res.err)
+		return fmt.Errorf("result is %s, want %s (%v)", res.kind, *want, res.err)
 	}
 	if *status != 0 && res.status != *status {
 		return fmt.Errorf("status %d, want %d", res.status, *status)
@@ -198,7 +199,7 @@
 	return nil
 }
 
-// text is what call prints.
+// text returns the result as call prints it.
 func (r *result) text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %d\n", r.kind, r.status)
@@ -211,34 +212,34 @@
 	return b.String()
 }
 
-// caller is who sends and where to.
-type caller struct {
+// callerOptions selects the client account and the VMs of a command's requests.
+type callerOptions struct {
 	account, path, vms string
 }
 
-func (w *world) callerFlags(f *flag.FlagSet) *caller {
-	c := &caller{}
-	f.StringVar(&c.account, "as", "", "client account whose key is shown")
-	f.StringVar(&c.path, "path", "", "path on VMs of the fleet, in place of URLs")
-	f.StringVar(&c.vms, "vms", "", "numbers of the VMs for -path, such as 1,2; empty is all")
+func (sc *scenario) callerFlags(f *flag.FlagSet) *callerOptions {
+	c := &callerOptions{}
+	f.StringVar(&c.account, "as", "", "client account whose key is sent")
+	f.StringVar(&c.path, "path", "", "path on VMs of the fleet, instead of URLs")
+	f.StringVar(&c.vms, "vms", "", "numbers of the VMs for -path, such as 1,2; empty means all")
 	return c
 }
 
-// resolve sets the key and returns the URLs to send to.
-func (c *caller) resolve(w *world, r *request, urls []string) ([]string, error) {
+// resolve sets the request's key and returns the URLs to send it to.
+func (c *callerOptions) resolve(sc *scenario, r *request, urls []string) ([]string, error) {
 	if c.account != "" {
-		r.key = w.keys[c.account]
+		r.key = sc.keys[c.account]
 		if r.key == "" {
-			return nil, fmt.Errorf("account %s has no key", c.account)
+			return nil, fmt.Errorf("client account %s has no key", c.account)
 		}
 	}
 	if c.path != "" {
-		for _, name := range w.current.names(c.vms) {
-			urls = append(urls, w.current.vms[name]+c.path)
+		for _, name := range sc.currentFleet.vmNames(c.vms) {
+			urls = append(urls, sc.currentFleet.vms[name]+c.path)
 		}
 	}
 	if len(urls) == 0 {
-		return nil, errors.New("name URLs, or a path with -path")
+		return nil, errors.New("missing URLs; give them as arguments or set -path")
 	}
 	return urls, nil
 }
--- a/test/scenario/check_test.go
+++ b/test/scenario/check_test.go
@@ -13,8 +13,8 @@
 	return times
 }
 
-// TestExcess checks the check: it must find what passes burst + rate x t, and
-// nothing else.
+// TestExcess checks that excess reports the arrivals above burst + rate x t, and
+// 0 if there are none.
 func TestExcess(t *testing.T) {
 	cases := []struct {
 		name        string
--- a/test/scenario/fleet_test.go
+++ b/test/scenario/fleet_test.go
@@ -18,50 +18,50 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// fleetRegions are the regions of every fleet; odd VMs and targets are in the
-// first, even ones in the second.
+// fleetRegions are the regions of every fleet. VMs and targets with odd numbers
+// are in the first, those with even numbers in the second.
 var fleetRegions = []string{"muntenia", "moldova"}
 
-// fleet is the platform, the targets and the VMs of one script.
+// fleet holds the platform, the targets and the VMs of one script.
 type fleet struct {
-	// vms and targets are the callers' and targets' URLs by name.
+	// vms and targets map names to URLs, those of VMs for callers.
 	vms, targets map[string]string
-	order        []string // names of targets
+	targetNames  []string // in order of their numbers
 	config       fleetConfig
 	base         settings.Settings
-	listed       []storage.VM
+	vmList       []storage.VM
 }
 
-// fleetConfig is what scripts choose.
+// fleetConfig holds the flags of the fleet command.
 type fleetConfig struct {
-	vms, targets, slots int
-	service             time.Duration
-	lease, fresh        time.Duration
-	// linked is a VM that reaches the platform, and that its peers reach, by
-	// links alone.
+	vms, targets, slots     int
+	serviceTime             time.Duration
+	leaseDuration, freshFor time.Duration
+	// linked is a VM that reaches the platform, and is reached by its peers, only
+	// over links.
 	linked string
 }
 
-// fleet starts stand-ins, targets t-1.. and VMs vm-1.., and waits until all
-// are ready: fleet [FLAG...]. It sets T_1.., VM_1.., OPS_1.., STORE,
-// DIRECTORY and CROCUSRAMP_SERVER.
-func (w *world) fleet(ts *testscript.TestScript, args []string) error {
+// fleet starts stand-ins for the platform, targets t-1.. and VMs vm-1.., and
+// waits until all are ready: fleet [FLAG...]. It sets T_1.., VM_1.., OPS_1..,
+// STORE, DIRECTORY and CROCUSRAMP_SERVER.
+func (sc *scenario) fleet(ts *testscript.TestScript, args []string) error {
 	var c fleetConfig
 	f := flag.NewFlagSet("fleet", flag.ContinueOnError)
 	f.SetOutput(ts.Stderr())
 	f.IntVar(&c.vms, "vms", 4, "VMs")
 	f.IntVar(&c.targets, "targets", 4, "targets")
 	f.IntVar(&c.slots, "slots", 9, "slots of each target")
-	f.DurationVar(&c.service, "service", 5*time.Millisecond, "service time of each target")
-	f.DurationVar(&c.lease, "lease", 10*time.Second, "lease of slots")
-	f.DurationVar(&c.fresh, "fresh", 3*time.Second, "feed.fresh_for")
-	f.StringVar(&c.linked, "linked", "", "VM that reaches the platform, and that its peers reach, by links only")
+	f.DurationVar(&c.serviceTime, "service", 5*time.Millisecond, "service time of each target")
+	f.DurationVar(&c.leaseDuration, "lease", 10*time.Second, "duration of slot leases")
+	f.DurationVar(&c.freshFor, "fresh", 3*time.Second, "feed.fresh_for")
+	f.StringVar(&c.linked, "linked", "", "VM that reaches the platform, and is reached by its peers, only over links")
 	if err := f.Parse(args); err != nil {
 		return err
 	}
 	fl := &fleet{vms: map[string]string{}, targets: map[string]string{}, config: c}
-	w.current = fl
-	for _, step := range []func(*testscript.TestScript) error{w.startPlatform, w.startTargets, w.startVMs} {
+	sc.currentFleet = fl
+	for _, step := range []func(*testscript.TestScript) error{sc.startPlatform, sc.startTargets, sc.startVMs} {
 		if err := step(ts); err != nil {
 			return err
 		}
@@ -69,67 +69,67 @@
 	return nil
 }
 
-// address returns a free address and sets variables to it.
-func (w *world) address(ts *testscript.TestScript, variable string) (string, error) {
-	port, err := w.freePort()
+// freeAddress returns a free address and sets the variable to its URL.
+func (sc *scenario) freeAddress(ts *testscript.TestScript, variable string) (string, error) {
+	port, err := sc.freePort()
 	if err != nil {
 		return "", err
 	}
-	address := w.host + ":" + port
+	address := sc.host + ":" + port
 	ts.Setenv(variable, "http://"+address)
-	w.labels[address] = "$" + variable
+	sc.labels[address] = "$" + variable
 	return address, nil
 }
 
-func (w *world) startPlatform(ts *testscript.TestScript) error {
+func (sc *scenario) startPlatform(ts *testscript.TestScript) error {
 	for _, name := range []string{"store", "directory"} {
-		address, err := w.address(ts, strings.ToUpper(name))
+		address, err := sc.freeAddress(ts, strings.ToUpper(name))
 		if err != nil {
 			return err
 		}
-		if err := w.start(ts, []string{name, "standin", name, "--listen", address}); err != nil {
+		if err := sc.start(ts, []string{name, "standin", name, "--listen", address}); err != nil {
 			return err
 		}
-		if err := w.waitFor(ts, []string{"http://" + address + "/fault"}); err != nil {
+		if err := sc.waitFor(ts, []string{"http://" + address + "/fault"}); err != nil {
 			return err
 		}
 	}
-	base := &w.current.base
+	base := &sc.currentFleet.base
 	base.Regions = fleetRegions
 	base.Platform.Store.Address = strings.TrimPrefix(ts.Getenv("STORE"), "http://")
 	base.Platform.Directory.URL = ts.Getenv("DIRECTORY")
 	base.Platform.Directory.Poll.Duration = 200 * time.Millisecond
-	base.Lease.Duration.Duration = w.current.config.lease
-	base.Lease.Poll.Duration = min(500*time.Millisecond, w.current.config.lease/8)
+	base.Lease.Duration.Duration = sc.currentFleet.config.leaseDuration
+	base.Lease.Poll.Duration = min(500*time.Millisecond, sc.currentFleet.config.leaseDuration/8)
 	base.Feed.Poll.Duration = 200 * time.Millisecond
-	base.Feed.FreshFor.Duration = w.current.config.fresh
+	base.Feed.FreshFor.Duration = sc.currentFleet.config.freshFor
 	return nil
 }
 
-func (w *world) startTargets(ts *testscript.TestScript) error {
-	fl := w.current
+func (sc *scenario) startTargets(ts *testscript.TestScript) error {
+	fl := sc.currentFleet
 	pool := settings.Pool{Name: "registru", RequireEcho: true}
 	for i := 1; i <= fl.config.targets; i++ {
 		name := fmt.Sprintf("t-%d", i)
-		address, err := w.address(ts, fmt.Sprintf("T_%d", i))
+		address, err := sc.freeAddress(ts, fmt.Sprintf("T_%d", i))
 		if err != nil {
 			return err
 		}
-		err = w.start(ts, []string{name, "standin", "target", "--listen", address, "--name", name,
-			"--slots", fmt.Sprint(fl.config.slots), "--service-time", fl.config.service.String()})
+		err = sc.start(ts, []string{name, "standin", "target", "--listen", address, "--name", name,
+			"--slots", fmt.Sprint(fl.config.slots), "--service-time", fl.config.serviceTime.String()})
 		if err != nil {
 			return err
 		}
 		fl.targets[name] = "http://" + address
-		fl.order = append(fl.order, name)
+		fl.targetNames = append(fl.targetNames, name)
 		region := fleetRegions[(i-1)%len(fleetRegions)]
 		pool.Targets = append(pool.Targets, settings.Target{
 			ID: name, Address: address, Region: region, FailureDomain: region + "-a",
 			Slots: fl.config.slots, Connections: 40 * fl.config.slots,
 		})
 	}
-	for _, name := range fl.order {
-		if err := w.waitFor(ts, []string{fl.targets[name] + "/healthz"}); err != nil {
+	for _, name := range fl.targetNames {
+		if err := sc.waitFor(ts, []string{fl.targets[name] + "/healthz"}); err != nil {
 			return err
 		}
 	}
@@ -137,38 +137,38 @@
 	return nil
 }
 
-func (w *world) startVMs(ts *testscript.TestScript) error {
+func (sc *scenario) startVMs(ts *testscript.TestScript) error {
 	var names []string
-	for i := 1; i <= w.current.config.vms; i++ {
+	for i := 1; i <= sc.currentFleet.config.vms; i++ {
 		names = append(names, fmt.Sprint(i))
 	}
-	if err := w.configureVMs(ts, names); err != nil {
+	if err := sc.configureVMs(ts, names); err != nil {
 		return err
 	}
 	ts.Setenv("CROCUSRAMP_SERVER", ts.Getenv("OPS_1"))
-	if err := w.vm(ts, names); err != nil {
+	if err := sc.startConfiguredVMs(ts, names); err != nil {
 		return err
 	}
-	return w.settled(ts, nil)
+	return sc.waitSlotsHeld(ts, nil)
 }
 
-// settled waits until the live VMs that the first one knows hold all slots,
-// and each of them at least one: settled
-func (w *world) settled(ts *testscript.TestScript, _ []string) error {
+// waitSlotsHeld waits until the VMs that the first VM lists hold all slots together,
+// and each live VM at least one: settled
+func (sc *scenario) waitSlotsHeld(ts *testscript.TestScript, _ []string) error {
 	url := ts.Getenv("CROCUSRAMP_SERVER") + "/twirp/crocusramp.operator.v1.Operations/ListVMs"
 	last := ""
-	for deadline := time.Now().Add(bound); time.Now().Before(deadline); time.Sleep(pollPeriod) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollPeriod) {
 		body, err := send(http.MethodPost, url, "{}")
 		if err == nil && allSlotsHeld(body) {
 			return nil
 		}
 		last = fmt.Sprintf("%s (%v)", body, err)
 	}
-	return fmt.Errorf("slots are not divided: %s", last)
+	return fmt.Errorf("VMs did not hold all slots in time: %s", last)
 }
 
-// slotsOfFleet is the default number of slots.
-const slotsOfFleet = 16
+// fleetSlots is the default number of slots of a fleet.
+const fleetSlots = 16
 
 func allSlotsHeld(body string) bool {
 	var list struct {
@@ -187,37 +187,38 @@
 		}
 		sum += vm.Slots
 	}
-	return sum == slotsOfFleet
+	return sum == fleetSlots
 }
 
-// configureVMs writes the settings of VMs and adds them to the platform's list.
-func (w *world) configureVMs(ts *testscript.TestScript, numbers []string) error {
+// configureVMs writes the settings files of VMs and adds the VMs to the
+// platform's list.
+func (sc *scenario) configureVMs(ts *testscript.TestScript, numbers []string) error {
 	for _, n := range numbers {
-		if err := w.configureVM(ts, n); err != nil {
+		if err := sc.configureVM(ts, n); err != nil {
 			return err
 		}
 	}
-	return w.publish()
+	return sc.publish()
 }
 
-func (w *world) configureVM(ts *testscript.TestScript, n string) error {
-	fl, name := w.current, "vm-"+n
+func (sc *scenario) configureVM(ts *testscript.TestScript, n string) error {
+	fl, name := sc.currentFleet, "vm-"+n
 	s := fl.base
 	var err error
-	if s.Listen.Callers, err = w.address(ts, "VM_"+n); err != nil {
+	if s.Listen.Callers, err = sc.freeAddress(ts, "VM_"+n); err != nil {
 		return err
 	}
-	if s.Listen.Operators, err = w.address(ts, "OPS_"+n); err != nil {
+	if s.Listen.Operators, err = sc.freeAddress(ts, "OPS_"+n); err != nil {
 		return err
 	}
-	if s.Listen.Peers, err = w.address(ts, "PEER_"+n); err != nil {
+	if s.Listen.Peers, err = sc.freeAddress(ts, "PEER_"+n); err != nil {
 		return err
 	}
 	last := int(n[len(n)-1] - '0')
 	region := fleetRegions[(last-1)%len(fleetRegions)]
 	s.VM = settings.VM{ID: name, Region: region, FailureDomain: region + "-" + string(rune('a'+(last-1)/2%2))}
 	if name == fl.config.linked {
-		if err := w.link(ts, name, &s); err != nil {
+		if err := sc.startLinks(ts, name, &s); err != nil {
 			return err
 		}
 	}
@@ -226,7 +227,7 @@
 	if s.Advertise.Peers != "" {
 		listed = s.Advertise.Peers
 	}
-	fl.listed = append(fl.listed, storage.VM{ID: name, PeerAddress: listed, State: storage.VMLive})
+	fl.vmList = append(fl.vmList, storage.VM{ID: name, PeerAddress: listed, State: storage.VMLive})
 	data, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
 		return err
@@ -234,37 +235,37 @@
 	return os.WriteFile(ts.MkAbs(name+".json"), data, 0o600)
 }
 
-// link puts a link between a VM and each service of the platform, and one
-// between its peers and it. The links are processes named VM-SERVICE and
-// VM-peers.
-func (w *world) link(ts *testscript.TestScript, name string, s *settings.Settings) error {
+// startLinks starts a link from a VM to each service of the platform, and one from its
+// peers to the VM. The links are processes named VM-SERVICE and VM-peers.
+func (sc *scenario) startLinks(ts *testscript.TestScript, name string, s *settings.Settings) error {
 	for service, url := range map[string]*string{
 		"store": &s.Platform.Store.Address, "directory": &s.Platform.Directory.URL,
 	} {
-		port, err := w.freePort()
+		port, err := sc.freePort()
 		if err != nil {
 			return err
 		}
-		address := w.host + ":" + port
+		address := sc.host + ":" + port
 		to := strings.TrimPrefix(*url, "http://")
-		if err := w.start(ts, []string{name + "-" + service, "standin", "link", "--listen", address, "--to", to}); err != nil {
+		if err := sc.start(ts, []string{name + "-" + service, "standin", "link", "--listen", address, "--to", to}); err != nil {
 			return err
 		}
-		if err := w.waitFor(ts, []string{"http://" + address + "/fault"}); err != nil {
+		if err := sc.waitFor(ts, []string{"http://" + address + "/fault"}); err != nil {
 			return err
 		}
 		*url = strings.Replace(*url, to, address, 1)
 	}
-	port, err := w.freePort()
+	port, err := sc.freePort()
 	if err != nil {
 		return err
 	}
-	s.Advertise.Peers = w.host + ":" + port
-	return w.start(ts, []string{name + "-peers", "standin", "link", "--listen", s.Advertise.Peers, "--to", s.Listen.Peers})
+	s.Advertise.Peers = sc.host + ":" + port
+	return sc.start(ts, []string{name + "-peers", "standin", "link", "--listen", s.Advertise.Peers, "--to", s.Listen.Peers})
 }
 
-// names returns the names of the VMs with these numbers, or of all.
-func (fl *fleet) names(numbers string) []string {
+// vmNames returns the names of the VMs with these numbers, or of all VMs if numbers
+// is empty.
+func (fl *fleet) vmNames(numbers string) []string {
 	if numbers == "" {
 		return slices.Sorted(maps.Keys(fl.vms))
 	}
@@ -275,86 +276,88 @@
 	return names
 }
 
-// publish sets the platform's list of VMs.
-func (w *world) publish() error {
-	body, err := json.Marshal(map[string]any{"vms": w.current.listed})
+// publish sends the list of VMs to the platform.
+func (sc *scenario) publish() error {
+	body, err := json.Marshal(map[string]any{"vms": sc.currentFleet.vmList})
 	if err != nil {
 		return err
 	}
-	_, err = send(http.MethodPut, w.current.base.Platform.Directory.URL, string(body))
+	_, err = send(http.MethodPut, sc.currentFleet.base.Platform.Directory.URL, string(body))
 	return err
 }
 
-// vm starts VMs that have settings and waits until they are ready: vm N...
-func (w *world) vm(ts *testscript.TestScript, numbers []string) error {
+// startConfiguredVMs starts configured VMs and waits until they are ready: vm N...
+func (sc *scenario) startConfiguredVMs(ts *testscript.TestScript, numbers []string) error {
 	for _, n := range numbers {
 		name := "vm-" + n
-		if err := w.start(ts, []string{name, "crocusrampd", "serve", "--config", name + ".json"}); err != nil {
+		if err := sc.start(ts, []string{name, "crocusrampd", "serve", "--config", name + ".json"}); err != nil {
 			return err
 		}
 	}
 	for _, n := range numbers {
-		if err := w.waitReady("vm-"+n, ts.Getenv("OPS_"+n)+"/readyz"); err != nil {
+		if err := sc.waitReady("vm-"+n, ts.Getenv("OPS_"+n)+"/readyz"); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// waitReady waits until a VM is ready or has ended.
-func (w *world) waitReady(name, url string) error {
-	p, last := w.processes[name], ""
-	for deadline := time.Now().Add(bound); time.Now().Before(deadline); time.Sleep(pollPeriod) {
+// waitReady waits until a VM is ready. It fails if the VM's process has exited.
+func (sc *scenario) waitReady(name, url string) error {
+	p, last := sc.processes[name], ""
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollPeriod) {
 		body, err := get(url)
 		if err == nil {
 			return nil
 		}
 		if p.ended() {
-			return fmt.Errorf("%s ended: %v", name, p.err)
+			return fmt.Errorf("%s exited before it was ready: %v", name, p.err)
 		}
 		last = fmt.Sprintf("%s (%v)", body, err)
 	}
-	return fmt.Errorf("%s is not ready: %s", name, last)
+	return fmt.Errorf("%s did not become ready in time: %s", name, last)
 }
 
-// newVM adds VMs to the fleet: newvm N...
-func (w *world) newVM(ts *testscript.TestScript, numbers []string) error {
-	if err := w.configureVMs(ts, numbers); err != nil {
+// newVMs configures and starts further VMs: newvm N...
+func (sc *scenario) newVMs(ts *testscript.TestScript, numbers []string) error {
+	if err := sc.configureVMs(ts, numbers); err != nil {
 		return err
 	}
-	return w.vm(ts, numbers)
+	return sc.startConfiguredVMs(ts, numbers)
 }
 
-// listed changes the platform's list: listed N live|leaving|removed
-func (w *world) listed(_ *testscript.TestScript, args []string) error {
+// setListedState changes the state of a VM in the platform's list:
+// listed N live|leaving|removed
+func (sc *scenario) setListedState(_ *testscript.TestScript, args []string) error {
 	if err := usage(args, 2, "listed N live|leaving|removed"); err != nil {
 		return err
 	}
-	fl, id := w.current, "vm-"+args[0]
-	i := slices.IndexFunc(fl.listed, func(vm storage.VM) bool { return vm.ID == id })
+	fl, id := sc.currentFleet, "vm-"+args[0]
+	i := slices.IndexFunc(fl.vmList, func(vm storage.VM) bool { return vm.ID == id })
 	if i < 0 {
 		return fmt.Errorf("%s is not in the list", id)
 	}
 	if args[1] == "removed" {
-		fl.listed = slices.Delete(fl.listed, i, i+1)
+		fl.vmList = slices.Delete(fl.vmList, i, i+1)
 	} else {
-		fl.listed[i].State = storage.VMState(args[1])
+		fl.vmList[i].State = storage.VMState(args[1])
 	}
-	return w.publish()
+	return sc.publish()
 }
 
-// routeTimeout bounds requests. A slot that changed hands carries no permits
-// for as long, since its former holder's requests may run still.
+// routeTimeout bounds requests. It is also how long a slot carries no permits
+// after its holder changed, since the former holder's requests may still be
+// running.
 const routeTimeout = "2s"
 
-// account creates a client account with a key, and once the routes: account
-// NAME RATE BURST. It sets KEY_name and KEYID_name.
-func (w *world) account(ts *testscript.TestScript, args []string) error {
+// account creates a client account with a key: account NAME RATE BURST. The first
+// call also creates the routes. It sets KEY_name and KEYID_name.
+func (sc *scenario) account(ts *testscript.TestScript, args []string) error {
 	if err := usage(args, 3, "account NAME RATE BURST"); err != nil {
 		return err
 	}
 	lines := [][]string{{"account", "create", args[0], "--rate", args[1], "--burst", args[2]}}
-	if len(w.keys) == 0 {
+	if len(sc.keys) == 0 {
 		lines = append(lines,
 			[]string{"route", "create", "lookup", "--path", "/lookup", "--pool", "registru", "--mode", "idempotent", "--timeout", routeTimeout},
 			[]string{"route", "create", "filing", "--path", "/filing", "--pool", "registru", "--mode", "at-most-once", "--priority", "high", "--timeout", routeTimeout})
@@ -369,54 +372,54 @@
 	if err := json.Unmarshal([]byte(ts.ReadFile("stdout")), &granted); err != nil {
 		return err
 	}
-	w.keys[args[0]] = granted.Key
+	sc.keys[args[0]] = granted.Key
 	ts.Setenv("KEY_"+args[0], granted.Key)
 	ts.Setenv("KEYID_"+args[0], granted.ID)
-	w.labels[granted.ID] = "$KEYID_" + args[0]
-	if err := w.waitKeys(ts, []string{granted.Key}); err != nil {
+	sc.labels[granted.ID] = "$KEYID_" + args[0]
+	if err := sc.waitKeys(ts, []string{granted.Key}); err != nil {
 		return err
 	}
-	return w.waitDone(granted.Key)
+	return sc.waitLookups(granted.Key)
 }
 
-// waitKeys waits until every VM that runs accepts a key: waitkey KEY
-func (w *world) waitKeys(_ *testscript.TestScript, args []string) error {
+// waitKeys waits until every running VM accepts a key: waitkey KEY
+func (sc *scenario) waitKeys(_ *testscript.TestScript, args []string) error {
 	if err := usage(args, 1, "waitkey KEY"); err != nil {
 		return err
 	}
-	for _, vm := range w.current.names("") {
-		p := w.processes[vm]
+	for _, vm := range sc.currentFleet.vmNames("") {
+		p := sc.processes[vm]
 		if p == nil || p.ended() {
 			continue
 		}
-		if err := w.waitKey(w.current.vms[vm], args[0]); err != nil {
+		if err := sc.waitKey(sc.currentFleet.vms[vm], args[0]); err != nil {
 			return fmt.Errorf("%s: %w", vm, err)
 		}
 	}
 	return nil
 }
 
-// ready waits until every VM that runs does a look-up: ready KEY
-func (w *world) ready(_ *testscript.TestScript, args []string) error {
+// waitServing waits until every VM has served a look-up: ready KEY
+func (sc *scenario) waitServing(_ *testscript.TestScript, args []string) error {
 	if err := usage(args, 1, "ready KEY"); err != nil {
 		return err
 	}
-	return w.waitDone(args[0])
+	return sc.waitLookups(args[0])
 }
 
-// waitDone waits until a look-up is done by every VM that runs.
-func (w *world) waitDone(key string) error {
+// waitLookups waits until every VM has served a look-up.
+func (sc *scenario) waitLookups(key string) error {
 	client := newCaller(1)
 	defer client.CloseIdleConnections()
 	r := request{method: http.MethodGet, key: key}
-	for _, vm := range w.current.names("") {
+	for _, vm := range sc.currentFleet.vmNames("") {
 		var last result
-		deadline := time.Now().Add(bound)
+		deadline := time.Now().Add(waitTimeout)
 		for last.kind != kindDone {
 			if time.Now().After(deadline) {
-				return fmt.Errorf("look-up on %s: %s %d %s %v", vm, last.kind, last.status, last.body, last.err)
+				return fmt.Errorf("%s did not serve a look-up in time: %s %d %s %v", vm, last.kind, last.status, last.body, last.err)
 			}
-			last = r.send(context.Background(), client, w.current.vms[vm]+"/lookup/ready")
+			last = r.send(context.Background(), client, sc.currentFleet.vms[vm]+"/lookup/ready")
 			time.Sleep(pollPeriod)
 		}
 	}
@@ -424,15 +427,15 @@
 }
 
 // waitKey waits until a VM accepts a key.
-func (w *world) waitKey(url, key string) error {
+func (sc *scenario) waitKey(url, key string) error {
 	client := newCaller(1)
 	defer client.CloseIdleConnections()
 	r := request{method: "GET", key: key}
 	var last result
-	for deadline := time.Now().Add(bound); time.Now().Before(deadline); time.Sleep(pollPeriod) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollPeriod) {
 		if last = r.send(context.Background(), client, url+"/v1/locate"); last.status == 200 {
 			return nil
 		}
 	}
-	return fmt.Errorf("not accepted: %d %s %v", last.status, last.body, last.err)
+	return fmt.Errorf("key not accepted in time: %d %s %v", last.status, last.body, last.err)
 }
--- a/test/scenario/ledger_test.go
+++ b/test/scenario/ledger_test.go
@@ -20,34 +20,36 @@
 	"crocusramp.dev/crocusramp/pkg/standin/target"
 )
 
-// ledger reads the ledgers of targets and makes what they tell values that
-// expect compares: ledger [FLAG...] URL...
+// ledger reads the ledgers of targets and sets values for expect:
+// ledger [FLAG...] URL...
 //
-//	ledger.ran            requests that ran, each sending counted
-//	ledger.shed           requests that came while all slots were taken
-//	ledger.over_slots     requests above the slots that ran at once, at most
-//	ledger.keys_seen      requests that held a client account key
-//	ledger.after          requests that started -after or later past the mark -since
+//	ledger.ran            requests that ran; retries count separately
+//	ledger.shed           requests that were shed because all slots were in use
+//	ledger.over_slots     highest number of requests above the slots that ran
+//	                      concurrently on a target
+//	ledger.keys_seen      requests that contained a client account key
+//	ledger.after          requests that started at least -after later than the mark
+//	                      -since
 //	ledger.lost           targets that no longer accept connections, with -lost;
 //	                      without it they are an error
 //	ledger.run_twice      idempotency keys that ran more than once
 //	ledger.excess         requests of the -account above -burst + -rate x t in
-//	                      any window t; admissions are counted once
-func (w *world) ledger(ts *testscript.TestScript, args []string) error {
+//	                      any window t; retries are not counted
+func (sc *scenario) ledger(ts *testscript.TestScript, args []string) error {
 	f := flag.NewFlagSet("ledger", flag.ContinueOnError)
 	f.SetOutput(ts.Stderr())
 	account := f.String("account", "", "client account")
-	rate := f.Float64("rate", 0, "requests a second")
-	burst := f.Float64("burst", 0, "requests at once")
-	lost := f.Bool("lost", false, "count targets that cannot be reached")
-	since := f.String("since", "", "mark")
-	after := f.Duration("after", 0, "time past the mark")
+	rate := f.Float64("rate", 0, "requests per second")
+	burst := f.Float64("burst", 0, "burst in requests")
+	lost := f.Bool("lost", false, "count targets that refuse connections instead of failing")
+	since := f.String("since", "", "mark from which -after is measured")
+	after := f.Duration("after", 0, "time after the mark")
 	if err := f.Parse(args); err != nil {
 		return err
 	}
 	urls := f.Args()
 	if len(urls) == 0 {
-		urls = slices.Collect(maps.Values(w.current.targets))
+		urls = slices.Collect(maps.Values(sc.currentFleet.targets))
 	}
 	all := len(urls)
 	if *lost {
@@ -77,19 +79,19 @@
 		}
 	}
 	if *since != "" {
-		v["after"] = float64(startedFrom(entries, w.marks[*since].Add(*after)))
+		v["after"] = float64(startedFrom(entries, sc.marks[*since].Add(*after)))
 	}
 	if *account != "" {
 		v["excess"] = excess(admissions(entries, *account), *rate, *burst)
 	}
 	for _, name := range slices.Sorted(maps.Keys(v)) {
-		w.values["ledger."+name] = v[name]
+		sc.values["ledger."+name] = v[name]
 		fmt.Fprintf(ts.Stdout(), "ledger.%s %.6g\n", name, v[name])
 	}
 	return nil
 }
 
-// refuses reports whether nobody listens at the URL.
+// refuses reports whether connections to the URL are refused.
 func refuses(url string) bool {
 	resp, err := http.Get(url + "/ledger")
 	if err != nil {
@@ -115,7 +117,7 @@
 	return records, nil
 }
 
-// startedFrom counts the requests that started at an instant or later.
+// startedFrom counts the requests that started at from or later.
 func startedFrom(entries []target.Entry, from time.Time) int {
 	n := 0
 	for _, e := range entries {
@@ -126,8 +128,8 @@
 	return n
 }
 
-// admissions returns when requests of an account first reached a target; a
-// retry of an admitted request is no second admission.
+// admissions returns the times at which requests of an account first reached a
+// target. A retry of an admitted request does not count as another admission.
 func admissions(entries []target.Entry, account string) []time.Time {
 	first := map[string]time.Time{}
 	for _, e := range entries {
@@ -146,25 +148,25 @@
 	return times
 }
 
-// excess returns by how much the arrivals pass burst + rate x t in the worst
-// window t, or 0. It is the most that a bucket of the same rate and burst
-// would be overdrawn by.
+// excess returns by how many requests the arrivals exceed burst + rate x t in the
+// worst window t, or 0. This equals the largest overdraft of a token bucket with
+// the same rate and burst.
 func excess(times []time.Time, rate, burst float64) float64 {
-	worst, level := 0.0, 0.0 // level is what the bucket lacks to be full
+	worst, deficit := 0.0, 0.0 // deficit is how many tokens the bucket lacks to be full
 	for i, at := range times {
 		if i > 0 {
-			level = max(0, level-rate*at.Sub(times[i-1]).Seconds())
+			deficit = max(0, deficit-rate*at.Sub(times[i-1]).Seconds())
 		}
-		level++
-		worst = max(worst, level-burst)
+		deficit++
+		worst = max(worst, deficit-burst)
 	}
 	return worst
 }
 
-// keyPrefix begins every client account key.
+// keyPrefix is the prefix of every client account key.
 const keyPrefix = "crk_"
 
-// findKeys returns the files below dir that hold a client account key.
+// findKeys returns the files below dir that contain a client account key.
 func findKeys(dir string) ([]string, error) {
 	var found []string
 	err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
@@ -180,8 +182,9 @@
 	return found, err
 }
 
-// noKeys fails where a log of any process holds a client account key.
-func (w *world) noKeys(ts *testscript.TestScript, _ []string) error {
+// noKeys fails if a file in the script's directory, such as the log of a process,
+// contains a client account key: nokeys
+func (sc *scenario) noKeys(ts *testscript.TestScript, _ []string) error {
 	found, err := findKeys(ts.MkAbs("."))
 	if err == nil && len(found) > 0 {
 		err = fmt.Errorf("client account keys in %s", strings.Join(found, ", "))
--- a/test/scenario/load_test.go
+++ b/test/scenario/load_test.go
@@ -18,30 +18,30 @@
 
 const (
 	// maxLoadRate and maxLoadTime bound every load.
-	maxLoadRate = 2000 // requests a second
+	maxLoadRate = 2000 // requests per second
 	maxLoadTime = 30 * time.Second
-	// maxInFlight is how many requests of one load wait for answers.
+	// maxInFlight bounds the requests of one load that are in flight.
 	maxInFlight = 2000
-	// callTimeout is how long a caller waits for one answer.
+	// callTimeout bounds one attempt to send a request.
 	callTimeout = 20 * time.Second
 )
 
-// load sends requests at a steady rate, whatever becomes of them.
+// load sends requests at a constant rate, independent of their results.
 type load struct {
 	request
 	urls     []string
 	rate     float64
 	duration time.Duration
-	// connections bounds those to each VM.
+	// connections bounds the connections to each VM.
 	connections int
 	// unique gives each request an idempotency key of its own.
 	unique bool
-	// idemPrefix begins the idempotency keys of unique requests.
+	// idemPrefix is the prefix of the idempotency keys of unique requests.
 	idemPrefix string
-	// attempts is how often one request is sent, to one URL after the other,
-	// until it is done. All have the same idempotency key.
+	// attempts bounds how often a request is sent until its result is done. Each
+	// attempt goes to the next URL under the same idempotency key.
 	attempts int
-	// retryWait passes before a request is sent again.
+	// retryWait is the delay before a retry.
 	retryWait time.Duration
 
 	cancel context.CancelFunc
@@ -51,45 +51,45 @@
 	counts    map[string]float64
 	latencies []time.Duration
 	lastDone  time.Time
-	examples  map[kind]string
+	examples  map[resultKind]string
 }
 
 // load starts a load in the background: load NAME [FLAG...] URL...
-func (w *world) load(ts *testscript.TestScript, args []string) error {
+func (sc *scenario) load(ts *testscript.TestScript, args []string) error {
 	if err := usage(args, 2, "load NAME [FLAG...] URL..."); err != nil {
 		return err
 	}
-	l := &load{ended: make(chan struct{}), counts: map[string]float64{}, examples: map[kind]string{}}
+	l := &load{ended: make(chan struct{}), counts: map[string]float64{}, examples: map[resultKind]string{}}
 	f := flag.NewFlagSet("load", flag.ContinueOnError)
 	f.SetOutput(ts.Stderr())
 	l.flags(f)
-	from := w.callerFlags(f)
-	f.Float64Var(&l.rate, "rate", 50, "requests a second")
-	f.DurationVar(&l.duration, "for", 5*time.Second, "length")
+	options := sc.callerFlags(f)
+	f.Float64Var(&l.rate, "rate", 50, "requests per second")
+	f.DurationVar(&l.duration, "for", 5*time.Second, "duration")
 	f.IntVar(&l.connections, "connections", 64, "connections to each VM")
-	f.BoolVar(&l.unique, "unique", false, "an idempotency key for each request")
-	f.StringVar(&l.idemPrefix, "idem-prefix", "", "begins the keys of -unique")
-	f.IntVar(&l.attempts, "attempts", 1, "sendings of each request")
-	f.DurationVar(&l.retryWait, "retry-wait", 0, "time before a request is sent again")
+	f.BoolVar(&l.unique, "unique", false, "send each request with its own idempotency key")
+	f.StringVar(&l.idemPrefix, "idem-prefix", "", "prefix of the keys of -unique")
+	f.IntVar(&l.attempts, "attempts", 1, "maximum number of attempts for each request")
+	f.DurationVar(&l.retryWait, "retry-wait", 0, "delay before a retry")
 	if err := f.Parse(args[1:]); err != nil {
 		return err
 	}
 	var err error
-	if l.urls, err = from.resolve(w, &l.request, f.Args()); err != nil {
+	if l.urls, err = options.resolve(sc, &l.request, f.Args()); err != nil {
 		return err
 	}
 	if l.rate <= 0 || l.rate > maxLoadRate || l.duration > maxLoadTime {
-		return fmt.Errorf("load needs a rate up to %d a second and a length up to %s", maxLoadRate, maxLoadTime)
+		return fmt.Errorf("rate must be above 0 and at most %d per second, and duration at most %s", maxLoadRate, maxLoadTime)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	l.cancel = cancel
-	w.loads[args[0]] = l
+	sc.loads[args[0]] = l
 	go l.run(ctx)
 	return nil
 }
 
-func (w *world) stopLoads() {
-	for _, l := range w.loads {
+func (sc *scenario) stopLoads() {
+	for _, l := range sc.loads {
 		l.cancel()
 		<-l.ended
 	}
@@ -101,7 +101,7 @@
 	defer client.CloseIdleConnections()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	places := make(chan struct{}, maxInFlight)
+	inFlight := make(chan struct{}, maxInFlight)
 	start := time.Now()
 	for i := 0; ; i++ {
 		due := time.Duration(float64(i) / l.rate * float64(time.Second))
@@ -114,20 +114,20 @@
 			return
 		}
 		select {
-		case places <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
-			l.add("skipped", 1)
+			l.addCount("skipped", 1)
 			continue
 		}
 		wg.Go(func() {
-			defer func() { <-places }()
-			l.one(ctx, client, i)
+			defer func() { <-inFlight }()
+			l.sendOne(ctx, client, i)
 		})
 	}
 }
 
-// one sends one request until it is done or its attempts are used up.
-func (l *load) one(ctx context.Context, client *http.Client, i int) {
+// sendOne sends one request until its result is done or its attempts are used up.
+func (l *load) sendOne(ctx context.Context, client *http.Client, i int) {
 	r := l.request
 	if l.unique {
 		r.idempotencyKey = l.idemPrefix + rand.Text()
@@ -136,13 +136,13 @@
 	start := time.Now()
 	for attempt := range l.attempts {
 		if attempt > 0 {
-			l.add("resent", 1)
+			l.addCount("resent", 1)
 			time.Sleep(l.retryWait)
 		}
 		attemptCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		res = r.send(attemptCtx, client, l.urls[(i+attempt)%len(l.urls)])
 		cancel()
-		l.add("attempt."+string(res.kind), 1)
+		l.addCount("attempt."+string(res.kind), 1)
 		if res.kind == kindDone || ctx.Err() != nil {
 			break
 		}
@@ -168,27 +168,27 @@
 	}
 }
 
-func (l *load) add(name string, n float64) {
+func (l *load) addCount(name string, n float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts[name] += n
 }
 
-// loaded waits for the end of a load and makes its counts values that expect
-// compares, and prints them: loaded NAME [MARK]. With a mark, NAME.last_done_s
-// is how long after it the last answer came.
-func (w *world) loaded(ts *testscript.TestScript, args []string) error {
+// waitLoad waits for the end of a load, sets its counts as values for expect, and
+// prints them: loaded NAME [MARK]. With a mark, NAME.last_done_s is the time from
+// the mark to the last result of kind done.
+func (sc *scenario) waitLoad(ts *testscript.TestScript, args []string) error {
 	if err := usage(args, 1, "loaded NAME"); err != nil {
 		return err
 	}
-	l := w.loads[args[0]]
+	l := sc.loads[args[0]]
 	if l == nil {
 		return fmt.Errorf("no load %s was started", args[0])
 	}
 	select {
 	case <-l.ended:
-	case <-time.After(bound + maxLoadTime):
-		return fmt.Errorf("load %s did not end", args[0])
+	case <-time.After(waitTimeout + maxLoadTime):
+		return fmt.Errorf("load %s did not end in time", args[0])
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -196,10 +196,10 @@
 	slices.Sort(l.latencies)
 	values["p50_ms"], values["p99_ms"] = quantile(l.latencies, 0.50), quantile(l.latencies, 0.99)
 	if len(args) > 1 {
-		values["last_done_s"] = l.lastDone.Sub(w.marks[args[1]]).Seconds()
+		values["last_done_s"] = l.lastDone.Sub(sc.marks[args[1]]).Seconds()
 	}
 	for _, name := range slices.Sorted(maps.Keys(values)) {
-		w.values[args[0]+"."+name] = values[name]
+		sc.values[args[0]+"."+name] = values[name]
 		fmt.Fprintf(ts.Stdout(), "%s.%s %.6g\n", args[0], name, values[name])
 	}
 	for _, k := range slices.Sorted(maps.Keys(l.examples)) {
@@ -208,12 +208,12 @@
 	return nil
 }
 
-// mark remembers the present instant: mark NAME
-func (w *world) mark(_ *testscript.TestScript, args []string) error {
+// mark records the current time under a name: mark NAME
+func (sc *scenario) mark(_ *testscript.TestScript, args []string) error {
 	if err := usage(args, 1, "mark NAME"); err != nil {
 		return err
 	}
-	w.marks[args[0]] = time.Now()
+	sc.marks[args[0]] = time.Now()
 	return nil
 }
 
@@ -225,17 +225,17 @@
 	return float64(sorted[int(q*float64(len(sorted)-1))].Microseconds()) / 1000
 }
 
-// expect compares a value: expect NAME ==|!=|<|<=|>|>= NUMBER|NAME. A count that
-// never happened is 0.
-func (w *world) expect(_ *testscript.TestScript, args []string) error {
+// expect compares a value: expect NAME ==|!=|<|<=|>|>= NUMBER|NAME. A NAME on the
+// left that was never set counts as 0.
+func (sc *scenario) expect(_ *testscript.TestScript, args []string) error {
 	if err := usage(args, 3, "expect NAME OPERATOR NUMBER|NAME"); err != nil {
 		return err
 	}
-	left := w.values[args[0]]
+	left := sc.values[args[0]]
 	right, err := strconv.ParseFloat(args[2], 64)
 	if err != nil {
 		var ok bool
-		if right, ok = w.values[args[2]]; !ok {
+		if right, ok = sc.values[args[2]]; !ok {
 			return fmt.Errorf("%q is neither a number nor a value", args[2])
 		}
 	}
--- a/test/scenario/process_test.go
+++ b/test/scenario/process_test.go
@@ -24,24 +24,24 @@
 )
 
 const (
-	// bound is how long a script waits for what must happen.
-	bound = 30 * time.Second
-	// pollPeriod is how often a script looks whether it has happened.
+	// waitTimeout bounds how long a script waits for a condition.
+	waitTimeout = 30 * time.Second
+	// pollPeriod is the interval at which waits check their condition.
 	pollPeriod = 20 * time.Millisecond
-	// logTailBytes is how much of each log a failure shows.
+	// logTailBytes is how much of each log is printed after a failure.
 	logTailBytes = 3000
 )
 
-// newHost returns a loopback address that no other script uses, so that the
-// ports on it are free.
+// newHost returns a random loopback address, so that scripts that run concurrently
+// do not use each other's ports.
 func newHost() string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))
 }
 
-// ports sets PORT_name to a free port for each name.
-func (w *world) ports(ts *testscript.TestScript, names []string) error {
+// ports sets PORT_name to a free port for each name: ports NAME...
+func (sc *scenario) ports(ts *testscript.TestScript, names []string) error {
 	for _, name := range names {
-		port, err := w.freePort()
+		port, err := sc.freePort()
 		if err != nil {
 			return err
 		}
@@ -50,11 +50,11 @@
 	return nil
 }
 
-// freePort returns a port that was not given out before: the kernel offers a
-// port again that nobody listens on yet.
-func (w *world) freePort() (string, error) {
+// freePort returns a free port that it has not returned before. The kernel may
+// hand out a port again before anybody listens on it.
+func (sc *scenario) freePort() (string, error) {
 	for {
-		l, err := net.Listen("tcp", w.host+":0")
+		l, err := net.Listen("tcp", sc.host+":0")
 		if err != nil {
 			return "", err
 		}
@@ -63,14 +63,14 @@
 		if err != nil {
 			return "", err
 		}
-		if !w.given[port] {
-			w.given[port] = true
+		if !sc.usedPorts[port] {
+			sc.usedPorts[port] = true
 			return port, nil
 		}
 	}
 }
 
-// process is one that the script started.
+// process is a process that the script started.
 type process struct {
 	cmd    *exec.Cmd
 	log    *os.File
@@ -79,12 +79,12 @@
 }
 
 // start runs a program in the background: start NAME PROGRAM ARG...
-func (w *world) start(ts *testscript.TestScript, args []string) error {
+func (sc *scenario) start(ts *testscript.TestScript, args []string) error {
 	if err := usage(args, 2, "start NAME PROGRAM ARG..."); err != nil {
 		return err
 	}
 	name := args[0]
-	if p := w.processes[name]; p != nil && !p.ended() {
+	if p := sc.processes[name]; p != nil && !p.ended() {
 		return fmt.Errorf("%s is running", name)
 	}
 	program, err := lookPath(ts.Getenv("PATH"), args[1])
@@ -103,12 +103,13 @@
 	if err := child.Start(p.cmd); err != nil {
 		return err
 	}
-	w.processes[name] = p
+	sc.processes[name] = p
 	go p.wait()
 	return nil
 }
 
-// lookPath finds program in the script's PATH, which is not the test's own.
+// lookPath finds program in the script's PATH, which differs from the PATH of the
+// test binary.
 func lookPath(path, program string) (string, error) {
 	for _, dir := range filepath.SplitList(path) {
 		file := filepath.Join(dir, program)
@@ -134,8 +135,8 @@
 	}
 }
 
-func (w *world) process(name string) (*process, error) {
-	p := w.processes[name]
+func (sc *scenario) process(name string) (*process, error) {
+	p := sc.processes[name]
 	if p == nil {
 		return nil, fmt.Errorf("no process %s was started", name)
 	}
@@ -148,11 +149,11 @@
 }
 
 // signal sends a signal: signal NAME SIGTERM|SIGKILL|SIGSTOP|SIGCONT|SIGHUP
-func (w *world) signal(_ *testscript.TestScript, args []string) error {
+func (sc *scenario) signal(_ *testscript.TestScript, args []string) error {
 	if err := usage(args, 2, "signal NAME SIGNAL"); err != nil {
 		return err
 	}
-	p, err := w.process(args[0])
+	p, err := sc.process(args[0])
 	if err != nil {
 		return err
 	}
@@ -163,36 +164,37 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// stopped waits until a process has ended: stopped NAME [STATUS]. Without a
-// status any will do; the time that it took is the value stopped.seconds.
-func (w *world) stopped(ts *testscript.TestScript, args []string) error {
+// waitStopped waits until a process has exited: stopped NAME [STATUS]. Without STATUS
+// it accepts any exit status. It sets the value stopped.seconds to the time that
+// it waited.
+func (sc *scenario) waitStopped(ts *testscript.TestScript, args []string) error {
 	if err := usage(args, 1, "stopped NAME [STATUS]"); err != nil {
 		return err
 	}
-	p, err := w.process(args[0])
+	p, err := sc.process(args[0])
 	if err != nil {
 		return err
 	}
 	start := time.Now()
 	select {
 	case <-p.exited:
-	case <-time.After(bound):
-		return fmt.Errorf("%s runs still after %s", args[0], bound)
+	case <-time.After(waitTimeout):
+		return fmt.Errorf("%s is still running after %s", args[0], waitTimeout)
 	}
-	w.values["stopped.seconds"] = time.Since(start).Seconds()
-	fmt.Fprintf(ts.Stdout(), "stopped.seconds %.3f\n", w.values["stopped.seconds"])
+	sc.values["stopped.seconds"] = time.Since(start).Seconds()
+	fmt.Fprintf(ts.Stdout(), "stopped.seconds %.3f\n", sc.values["stopped.seconds"])
 	if len(args) == 1 {
 		return nil
 	}
 	if got := strconv.Itoa(p.cmd.ProcessState.ExitCode()); got != args[1] {
-		return fmt.Errorf("%s ended with status %s (%v), want %s", args[0], got, p.err, args[1])
+		return fmt.Errorf("%s exited with status %s (%v), want %s", args[0], got, p.err, args[1])
 	}
 	return nil
 }
 
-// logTails shows the end of each process's log.
-func (w *world) logTails(ts *testscript.TestScript) {
-	for _, name := range slices.Sorted(maps.Keys(w.processes)) {
+// logTails prints the end of each process's log.
+func (sc *scenario) logTails(ts *testscript.TestScript) {
+	for _, name := range slices.Sorted(maps.Keys(sc.processes)) {
 		data, err := os.ReadFile(ts.MkAbs(name + ".log"))
 		if err == nil && len(data) > 0 {
 			ts.Logf("%s.log:\n%s", name, data[max(0, len(data)-logTailBytes):])
@@ -200,21 +202,22 @@
 	}
 }
 
-// killAll ends the processes that the script started, by their ids.
-func (w *world) killAll() {
-	for _, p := range w.processes {
+// killAll kills the processes that the script started.
+func (sc *scenario) killAll() {
+	for _, p := range sc.processes {
 		if !p.ended() {
-			_ = p.cmd.Process.Kill() // it may have ended by itself just now
+			_ = p.cmd.Process.Kill() // it may have exited in the meantime
 		}
 	}
-	for _, p := range w.processes {
+	for _, p := range sc.processes {
 		<-p.exited
 	}
 }
 
-// waitFor polls until a URL answers 200 with a body that matches:
-// waitfor URL [REGEXP], or until it refuses connections: waitfor URL -down.
-func (w *world) waitFor(ts *testscript.TestScript, args []string) error {
+// waitFor polls a URL until its response has a 2xx status and a body that
+// matches: waitfor URL [REGEXP], or until connections are refused:
+// waitfor URL -down.
+func (sc *scenario) waitFor(ts *testscript.TestScript, args []string) error {
 	if err := usage(args, 1, "waitfor URL [REGEXP|-down]"); err != nil {
 		return err
 	}
@@ -227,7 +230,7 @@
 		return err
 	}
 	last := ""
-	for deadline := time.Now().Add(bound); time.Now().Before(deadline); time.Sleep(pollPeriod) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollPeriod) {
 		body, err := get(args[0])
 		if pattern == "-down" && errors.Is(err, syscall.ECONNREFUSED) {
 			return nil
@@ -238,20 +241,20 @@
 		}
 		last = fmt.Sprintf("%.2000s (%v)", body, err)
 	}
-	return fmt.Errorf("%s did not match %q within %s: %s", args[0], pattern, bound, last)
+	return fmt.Errorf("%s did not match %q within %s: %s", args[0], pattern, waitTimeout, last)
 }
 
-var admin = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var adminClient = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func get(url string) (string, error) {
-	resp, err := admin.Get(url)
+	resp, err := adminClient.Get(url)
 	if err != nil {
 		return "", err
 	}
-	return readAnswer(resp)
+	return readResponse(resp)
 }
 
-func readAnswer(resp *http.Response) (string, error) {
+func readResponse(resp *http.Response) (string, error) {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err == nil && resp.StatusCode/100 != 2 {
@@ -261,7 +264,7 @@
 }
 
 // post sends JSON to an admin endpoint of a stand-in: post [-put] URL JSON
-func (w *world) post(ts *testscript.TestScript, args []string) error {
+func (sc *scenario) post(ts *testscript.TestScript, args []string) error {
 	method := http.MethodPost
 	if len(args) > 0 && args[0] == "-put" {
 		method, args = http.MethodPut, args[1:]
@@ -283,16 +286,16 @@
 		return "", err
 	}
 	r.Header.Set("Content-Type", "application/json")
-	resp, err := admin.Do(r)
+	resp, err := adminClient.Do(r)
 	if err != nil {
 		return "", err
 	}
-	return readAnswer(resp)
+	return readResponse(resp)
 }
 
-// pause lets time pass that the scenario is about, such as the length of a
-// lease; it never stands for waiting until something has happened.
-func (w *world) pause(_ *testscript.TestScript, args []string) error {
+// pause sleeps: pause DURATION. Scripts use it for a period that is part of the
+// scenario, such as the duration of a lease, and never to wait for a condition.
+func (sc *scenario) pause(_ *testscript.TestScript, args []string) error {
 	if err := usage(args, 1, "pause DURATION"); err != nil {
 		return err
 	}
@@ -304,9 +307,9 @@
 	return nil
 }
 
-// capture sets a variable to the first group of a pattern in the last standard
-// output: capture NAME REGEXP
-func (w *world) capture(ts *testscript.TestScript, args []string) error {
+// capture sets a variable to the first group of a pattern in the standard output
+// of the last command: capture NAME REGEXP
+func (sc *scenario) capture(ts *testscript.TestScript, args []string) error {
 	if err := usage(args, 2, "capture NAME REGEXP"); err != nil {
 		return err
 	}
--- a/test/scenario/scenario_test.go
+++ b/test/scenario/scenario_test.go
@@ -1,6 +1,6 @@
-// Package scenario runs whole fleets of separate processes over scripts in
-// testdata: the daemon, the operators' client, stand-ins and callers, with
-// real signals. The commands of the scripts are listed in README.md.
+// Package scenario runs the scripts in testdata against whole fleets of separate
+// processes: daemons, the operators' client and stand-ins. Scripts send requests
+// as callers and real signals. Their commands are listed in README.md.
 package scenario
 
 import (
@@ -27,12 +27,12 @@
 	})
 }
 
-// update rewrites the golden files in scripts.
+// update makes the test rewrite the golden files in scripts.
 var update = flag.Bool("update", false, "rewrite golden files")
 
 func TestScenarios(t *testing.T) {
 	if testing.Short() {
-		t.Skip("separate processes under load")
+		t.Skip("runs fleets of separate processes under load")
 	}
 	testscript.Run(t, testscript.Params{
 		Dir:                 "testdata",
@@ -44,68 +44,71 @@
 	})
 }
 
-// maxScripts is how many scripts run at once; each starts about ten processes.
+// maxScripts bounds how many scripts run concurrently. Each starts about ten
+// processes.
 const maxScripts = 3
 
-var scripts = make(chan struct{}, maxScripts)
+var scriptSlots = make(chan struct{}, maxScripts)
 
-// commands are what the scripts can use beside testscript's own.
+// commands are the script commands in addition to those of testscript.
 var commands = map[string]func(*testscript.TestScript, bool, []string){
-	"fleet":   withWorld((*world).fleet),
-	"vm":      withWorld((*world).vm),
-	"newvm":   withWorld((*world).newVM),
-	"listed":  withWorld((*world).listed),
-	"account": withWorld((*world).account),
-	"mark":    withWorld((*world).mark),
-	"ramp":    withWorld((*world).ramp),
-	"session": withWorld((*world).recordSession),
-	"ready":   withWorld((*world).ready),
-	"waitkey": withWorld((*world).waitKeys),
-	"settled": withWorld((*world).settled),
-	"ports":   withWorld((*world).ports),
-	"start":   withWorld((*world).start),
-	"signal":  withWorld((*world).signal),
-	"stopped": withWorld((*world).stopped),
-	"waitfor": withWorld((*world).waitFor),
-	"call":    withWorld((*world).call),
-	"capture": withWorld((*world).capture),
-	"load":    withWorld((*world).load),
-	"loaded":  withWorld((*world).loaded),
-	"expect":  withWorld((*world).expect),
-	"post":    withWorld((*world).post),
-	"ledger":  withWorld((*world).ledger),
-	"nokeys":  withWorld((*world).noKeys),
-	"pause":   withWorld((*world).pause),
+	"fleet":   withScenario((*scenario).fleet),
+	"vm":      withScenario((*scenario).startConfiguredVMs),
+	"newvm":   withScenario((*scenario).newVMs),
+	"listed":  withScenario((*scenario).setListedState),
+	"account": withScenario((*scenario).account),
+	"mark":    withScenario((*scenario).mark),
+	"ramp":    withScenario((*scenario).ramp),
+	"session": withScenario((*scenario).recordSession),
+	"ready":   withScenario((*scenario).waitServing),
+	"waitkey": withScenario((*scenario).waitKeys),
+	"settled": withScenario((*scenario).waitSlotsHeld),
+	"ports":   withScenario((*scenario).ports),
+	"start":   withScenario((*scenario).start),
+	"signal":  withScenario((*scenario).signal),
+	"stopped": withScenario((*scenario).waitStopped),
+	"waitfor": withScenario((*scenario).waitFor),
+	"call":    withScenario((*scenario).call),
+	"capture": withScenario((*scenario).capture),
+	"load":    withScenario((*scenario).load),
+	"loaded":  withScenario((*scenario).waitLoad),
+	"expect":  withScenario((*scenario).expect),
+	"post":    withScenario((*scenario).post),
+	"ledger":  withScenario((*scenario).ledger),
+	"nokeys":  withScenario((*scenario).noKeys),
+	"pause":   withScenario((*scenario).pause),
 }
 
-// world is the state of one script.
-type world struct {
+// scenario is the state of one script.
+type scenario struct {
 	host      string
-	given     map[string]bool // ports that were given out
+	usedPorts map[string]bool // ports that freePort returned
 	processes map[string]*process
 	loads     map[string]*load
-	// values are the results that expect compares.
-	values  map[string]float64
-	current *fleet
-	// marks are instants that results are measured from.
+	// values are the numbers that expect compares.
+	values       map[string]float64
+	currentFleet *fleet
+	// marks are the times that mark recorded, by name.
 	marks map[string]time.Time
-	// labels stand for variable texts in golden files.
+	// labels map texts that vary between runs, such as addresses, to the labels
+	// that replace them in golden files.
 	labels map[string]string
-	// session is what was called since the script began to record.
+	// session holds the recorded commands and their outputs. It is nil before
+	// session start.
 	session *strings.Builder
-	// keys are the keys of client accounts by account.
+	// keys map client accounts to their keys.
 	keys map[string]string
 }
 
-// worldKey finds the world in a script's values.
-type worldKey struct{}
+// scenarioKey is the key of the scenario in a script's values.
+type scenarioKey struct{}
 
 func setup(env *testscript.Env) error {
-	scripts <- struct{}{}
-	env.Defer(func() { <-scripts })
-	w := &world{
+	scriptSlots <- struct{}{}
+	env.Defer(func() { <-scriptSlots })
+	sc := &scenario{
 		host:      newHost(),
-		given:     map[string]bool{},
+		usedPorts: map[string]bool{},
 		processes: map[string]*process{},
 		loads:     map[string]*load{},
 		values:    map[string]float64{},
@@ -113,24 +116,24 @@
 		marks:     map[string]time.Time{},
 		labels:    map[string]string{},
 	}
-	env.Values[worldKey{}] = w
-	env.Setenv("HOST", w.host)
-	env.Defer(w.killAll)
-	env.Defer(w.stopLoads)
+	env.Values[scenarioKey{}] = sc
+	env.Setenv("HOST", sc.host)
+	env.Defer(sc.killAll)
+	env.Defer(sc.stopLoads)
 	return nil
 }
 
-func withWorld(f func(*world, *testscript.TestScript, []string) error) func(*testscript.TestScript, bool, []string) {
+func withScenario(f func(*scenario, *testscript.TestScript, []string) error) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
-		w := ts.Value(worldKey{}).(*world)
-		err := f(w, ts, args)
+		sc := ts.Value(scenarioKey{}).(*scenario)
+		err := f(sc, ts, args)
 		switch {
 		case neg && err == nil:
 			ts.Fatalf("unexpected success")
 		case neg:
 			ts.Logf("failed as expected: %v", err)
 		case err != nil:
-			w.logTails(ts)
+			sc.logTails(ts)
 			ts.Fatalf("%v", err)
 		}
 	}
--- a/test/scenario/session_test.go
+++ b/test/scenario/session_test.go
@@ -11,40 +11,42 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// recordSession records what ramp and call do: session start; and writes it
-// with its variable parts replaced: session write FILE. Scripts compare the
-// file with a golden one by cmp; go test -update rewrites those.
-func (w *world) recordSession(ts *testscript.TestScript, args []string) error {
+// recordSession starts to record the commands ramp and call and their outputs:
+// session start, or writes the record to a file, with the texts that vary between
+// runs replaced: session write FILE. Scripts compare the file with a golden one by
+// cmp; go test -update rewrites the golden files.
+func (sc *scenario) recordSession(ts *testscript.TestScript, args []string) error {
 	switch {
 	case len(args) == 1 && args[0] == "start":
-		w.session = &strings.Builder{}
+		sc.session = &strings.Builder{}
 		return nil
-	case len(args) == 2 && args[0] == "write" && w.session != nil:
-		return os.WriteFile(ts.MkAbs(args[1]), []byte(w.stable(w.session.String())), 0o600)
+	case len(args) == 2 && args[0] == "write" && sc.session != nil:
+		return os.WriteFile(ts.MkAbs(args[1]), []byte(sc.normalize(sc.session.String())), 0o600)
 	default:
 		return errors.New("usage: session start, then session write FILE")
 	}
 }
 
-func (w *world) record(command, output string) {
-	if w.session != nil {
-		fmt.Fprintf(w.session, "$ %s\n%s\n", command, output)
+func (sc *scenario) recordCommand(command, output string) {
+	if sc.session != nil {
+		fmt.Fprintf(sc.session, "$ %s\n%s\n", command, output)
 	}
 }
 
 // ramp runs the operators' client: ramp ARG...
-func (w *world) ramp(ts *testscript.TestScript, args []string) error {
+func (sc *scenario) ramp(ts *testscript.TestScript, args []string) error {
 	err := ts.Exec("crocusramp", args...)
 	output := ts.ReadFile("stdout") + ts.ReadFile("stderr")
 	if err != nil {
 		output += fmt.Sprintf("(%v)\n", err)
 	}
-	w.record("crocusramp "+strings.Join(args, " "), output)
+	sc.recordCommand("crocusramp "+strings.Join(args, " "), output)
 	return err
 }
 
-// variable are the texts that differ from run to run.
-var variable = []struct {
+// variableTexts are the patterns of texts that vary between runs, and the labels
+// that replace them.
+var variableTexts = []struct {
 	pattern *regexp.Regexp
 	label   string
 }{
@@ -61,17 +63,18 @@
 	{regexp.MustCompile(`"target":"t-\d+"`), `"target":"<target>"`},
 }
 
-// stable replaces what differs from run to run.
-func (w *world) stable(text string) string {
-	var longest []string
-	for value := range w.labels {
-		longest = append(longest, value)
+// normalize replaces the texts that vary between runs. Longer labeled texts come
+// first, since they may contain shorter ones.
+func (sc *scenario) normalize(text string) string {
+	var labeled []string
+	for value := range sc.labels {
+		labeled = append(labeled, value)
 	}
-	slices.SortFunc(longest, func(a, b string) int { return len(b) - len(a) })
-	for _, value := range longest {
-		text = strings.ReplaceAll(text, value, w.labels[value])
+	slices.SortFunc(labeled, func(a, b string) int { return len(b) - len(a) })
+	for _, value := range labeled {
+		text = strings.ReplaceAll(text, value, sc.labels[value])
 	}
-	for _, v := range variable {
+	for _, v := range variableTexts {
 		text = v.pattern.ReplaceAllString(text, v.label)
 	}
 	return text
