--- a/pkg/feed/bench_test.go
+++ b/pkg/feed/bench_test.go
@@ -27,7 +27,7 @@
 	"crocusramp.dev/crocusramp/pkg/member"
 )
 
-// benchConfig has n accounts with a key each.
+// benchConfig returns a configuration with n accounts that have one key each.
 func benchConfig(n int) *config.Config {
 	c := config.Empty()
 	c.Version = 1
@@ -40,7 +40,7 @@
 	return c
 }
 
-// rateChange sets the rate of an account, as a change of the given version.
+// rateChange returns a change with the given version that sets an account's rate.
 func rateChange(version int64) (entry, error) {
 	ch := config.Change{
 		ID: uuid.New(), Version: version, Time: time.Now().UTC(),
@@ -52,11 +52,11 @@
 	return entry{change: ch, data: data}, err
 }
 
-// BenchmarkApply is what a change costs a VM besides its transport.
+// BenchmarkApply measures what it costs a VM to decode and apply a change.
 func BenchmarkApply(b *testing.B) {
 	for _, size := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("accounts=%d", size), func(b *testing.B) {
-			s, err := newState().with(update{snapshot: benchConfig(size), version: 1, read: 1, agreed: never})
+			s, err := newState().withUpdate(update{snapshot: benchConfig(size), version: 1, readAt: 1, agreedAt: never})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -67,7 +67,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if next, err := s.with(update{entries: entries, version: 2, read: 2, agreed: never}); err != nil || next.version() != 2 {
+				if next, err := s.withUpdate(update{entries: entries, version: 2, readAt: 2, agreedAt: never}); err != nil || next.version() != 2 {
 					b.Fatal(err)
 				}
 			}
@@ -75,8 +75,8 @@
 	}
 }
 
-// BenchmarkSnapshot is what a VM that boots from a peer or the object store
-// costs: encoding there, decoding and validation here.
+// BenchmarkSnapshot measures the cost of starting a VM from a peer or the object
+// store: the source encodes, the VM decodes and validates.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, size := range []int{100, 1000, 10000} {
 		c := benchConfig(size)
@@ -102,13 +102,13 @@
 	}
 }
 
-// relayAccounts, in the environment, makes the test binary a relay whose
-// configuration has that many accounts, so that the processor time of a relay
-// can be told from that of its followers.
-const relayAccounts = "FEED_BENCH_RELAY_ACCOUNTS"
+// relayAccountsEnv is an environment variable that makes the test binary a relay
+// whose configuration has that many accounts. A separate process allows the
+// relay's processor time to be measured apart from that of its followers.
+const relayAccountsEnv = "FEED_BENCH_RELAY_ACCOUNTS"
 
 func TestMain(m *testing.M) {
-	if n, err := strconv.Atoi(os.Getenv(relayAccounts)); err == nil {
+	if n, err := strconv.Atoi(os.Getenv(relayAccountsEnv)); err == nil {
 		runRelay(n)
 		return
 	}
@@ -116,17 +116,17 @@
 }
 
 // runRelay prints its address, and then its processor time in nanoseconds
-// after each line that it reads. The line "step" makes the next version.
+// after each line that it reads. The line "step" publishes a new version first.
 func runRelay(accounts int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	loop := control.NewLoop()
 	go loop.Run(ctx)
 	defer cancel()
 	f := New(Config{Loop: loop, Clock: clock.System{}, Members: noPeers{}})
-	must(f.takeNow(ctx, update{snapshot: benchConfig(accounts), version: 1, read: f.cfg.Clock.Now(), agreed: never}))
-	// Stands in for the periodic reads of the store.
-	loop.Every(ctx, defaultPoll, func() {
-		f.take(update{version: f.state.Load().version(), read: f.cfg.Clock.Now(), agreed: never})
+	must(f.applyUpdateAndWait(ctx, update{snapshot: benchConfig(accounts), version: 1, readAt: f.cfg.Clock.Now(), agreedAt: never}))
+	// Simulates the periodic reads of the store.
+	loop.Every(ctx, defaultPollInterval, func() {
+		f.applyUpdate(update{version: f.state.Load().version(), readAt: f.cfg.Clock.Now(), agreedAt: never})
 	})
 	_, h := f.Handler()
 	server := httptest.NewServer(h)
@@ -135,10 +135,10 @@
 	lines := bufio.NewScanner(os.Stdin)
 	for lines.Scan() {
 		if version := f.state.Load().version() + 1; lines.Text() == "step" {
-			u := update{entries: []entry{must(rateChange(version))}, version: version, read: f.cfg.Clock.Now(), agreed: never}
-			must(f.takeNow(ctx, u))
+			u := update{entries: []entry{must(rateChange(version))}, version: version, readAt: f.cfg.Clock.Now(), agreedAt: never}
+			must(f.applyUpdateAndWait(ctx, u))
 		}
-		fmt.Println(processorTime().Nanoseconds())
+		fmt.Println(cpuTime().Nanoseconds())
 	}
 }
 
@@ -149,7 +149,7 @@
 	return v
 }
 
-// relayProcess is the parent's side of runRelay.
+// relayProcess controls a child process that executes runRelay.
 type relayProcess struct {
 	address string
 	in      io.WriteCloser
@@ -158,7 +158,7 @@
 
 func startRelay(b *testing.B, accounts int) *relayProcess {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", relayAccounts, accounts))
+	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", relayAccountsEnv, accounts))
 	p := &relayProcess{in: must(cmd.StdinPipe()), out: bufio.NewScanner(must(cmd.StdoutPipe()))}
 	if err := cmd.Start(); err != nil {
 		b.Fatal(err)
@@ -169,32 +169,32 @@
 			b.Errorf("relay: %v", err)
 		}
 	})
-	p.address = p.line(b)
+	p.address = p.readLine(b)
 	return p
 }
 
-func (p *relayProcess) line(b *testing.B) string {
+func (p *relayProcess) readLine(b *testing.B) string {
 	if !p.out.Scan() {
-		b.Fatal("the relay ended")
+		b.Fatal("the relay process ended")
 	}
 	return p.out.Text()
 }
 
-// do sends a command and returns the relay's processor time.
-func (p *relayProcess) do(b *testing.B, command string) time.Duration {
+// command sends a command and returns the relay's processor time.
+func (p *relayProcess) command(b *testing.B, command string) time.Duration {
 	fmt.Fprintln(p.in, command)
-	return time.Duration(must(strconv.ParseInt(p.line(b), 10, 64)))
+	return time.Duration(must(strconv.ParseInt(p.readLine(b), 10, 64)))
 }
 
-// benchFleet is a relay in its own process with followers here that hold long
-// polls to it over loopback TCP.
+// benchFleet is a relay in its own process and followers in this process, which
+// long-poll the relay over loopback TCP.
 type benchFleet struct {
 	relay     *relayProcess
 	followers []*Feed
 	bytes     atomic.Int64
 }
 
-// countingConn counts the bytes of both directions.
+// countingConn counts the bytes read and written.
 type countingConn struct {
 	net.Conn
 	total *atomic.Int64
@@ -219,7 +219,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	for i := range followers {
 		f := newFeed(b, Config{PullWait: wait})
-		must(f.takeNow(ctx, update{snapshot: c, version: 1, read: f.cfg.Clock.Now(), agreed: never}))
+		must(f.applyUpdateAndWait(ctx, update{snapshot: c, version: 1, readAt: f.cfg.Clock.Now(), agreedAt: never}))
 		f.cfg.Self = member.Peer{ID: fmt.Sprint(i), Incarnation: fmt.Sprint(i)}
 		f.relay.Store(&observation{row: row, revision: 1, known: true})
 		f.cfg.Peers.HTTP().Transport.(*http.Transport).DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -229,13 +229,15 @@
 		f.cfg.Loop.Go(ctx, f.follow)
 		fleet.followers = append(fleet.followers, f)
 	}
-	b.Cleanup(cancel) // runs first, since the loops wait for their followers
+	// Cleanups run last in, first out: cancel stops the followers before the
+	// feeds' cleanups wait for them.
+	b.Cleanup(cancel)
 	return fleet
 }
 
-// step makes a version and waits until all followers have it.
-func (f *benchFleet) step(b *testing.B, version int64) {
-	f.relay.do(b, "step")
+// publishVersion makes the relay publish a version and waits until all followers have it.
+func (f *benchFleet) publishVersion(b *testing.B, version int64) {
+	f.relay.command(b, "step")
 	for _, v := range f.followers {
 		for v.state.Load().version() < version {
 			time.Sleep(200 * time.Microsecond)
@@ -243,27 +245,27 @@
 	}
 }
 
-// usage is what a fleet has spent.
+// usage holds the network bytes and processor time that a fleet has used.
 type usage struct {
 	bytes            int64
 	relay, followers time.Duration
 }
 
 func (f *benchFleet) usage(b *testing.B) usage {
-	return usage{bytes: f.bytes.Load(), relay: f.relay.do(b, "time"), followers: processorTime()}
+	return usage{bytes: f.bytes.Load(), relay: f.relay.command(b, "time"), followers: cpuTime()}
 }
 
-// report prints what was spent since before, for each of n operations.
+// report reports the usage since before, divided by the number of operations.
 func (f *benchFleet) report(b *testing.B, before usage, per string) {
 	after := f.usage(b)
 	n := float64(b.N)
 	each := n * float64(len(f.followers))
-	b.ReportMetric(float64(after.bytes-before.bytes)/each, "B/"+per+"/node")
-	b.ReportMetric(float64((after.followers-before.followers).Microseconds())/each, "cpu-µs/"+per+"/node")
+	b.ReportMetric(float64(after.bytes-before.bytes)/each, "B/"+per+"/VM")
+	b.ReportMetric(float64((after.followers-before.followers).Microseconds())/each, "cpu-µs/"+per+"/VM")
 	b.ReportMetric(float64((after.relay-before.relay).Microseconds())/n, "cpu-µs/"+per+"/relay")
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err)
@@ -271,18 +273,19 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkSpread brings changes from a relay to its failure domain.
+// BenchmarkSpread measures the distribution of a change from a relay to its
+// failure domain.
 func BenchmarkSpread(b *testing.B) {
 	for _, accounts := range []int{100, 1000, 10000} {
 		for _, followers := range []int{4, 31, 124} {
 			b.Run(fmt.Sprintf("accounts=%d/followers=%d", accounts, followers), func(b *testing.B) {
 				fleet := newBenchFleet(b, followers, accounts, maxPullWait)
 				version := int64(2)
-				fleet.step(b, version)
+				fleet.publishVersion(b, version)
 				before := fleet.usage(b)
 				for range b.N {
 					version++
-					fleet.step(b, version)
+					fleet.publishVersion(b, version)
 				}
 				fleet.report(b, before, "change")
 			})
@@ -290,13 +293,13 @@
 	}
 }
 
-// BenchmarkIdle is what following costs while nothing changes; an operation is
-// one second.
+// BenchmarkIdle measures the cost of following while nothing changes. An
+// operation is one second.
 func BenchmarkIdle(b *testing.B) {
 	for _, followers := range []int{4, fanOut, 31, 124} {
 		b.Run(fmt.Sprintf("followers=%d", followers), func(b *testing.B) {
 			fleet := newBenchFleet(b, followers, 1000, defaultPullWait)
-			fleet.step(b, 2)
+			fleet.publishVersion(b, 2)
 			before := fleet.usage(b)
 			for range b.N {
 				time.Sleep(time.Second)
--- a/pkg/feed/consult.go
+++ b/pkg/feed/consult.go
@@ -11,50 +11,51 @@
 	"crocusramp.dev/crocusramp/pkg/member"
 )
 
-// maxConsulted bounds how many peers one VM asks about its freshness. In a
-// larger fleet it asks some, and agreement is never reached.
-const maxConsulted = 64
+// maxConsultedPeers bounds how many peers one VM asks in a consultation. In a
+// larger fleet it asks a random sample, which never suffices for agreement.
+const maxConsultedPeers = 64
 
-// poll is the answer of one peer to a consultation.
-type poll struct {
-	answer answer
+// consultResult is the result of asking one peer in a consultation.
+type consultResult struct {
+	pulled pullResult
 	err    error
 }
 
-// startConsult asks all peers for what they know, beside the loop.
-func (f *Feed) startConsult(ctx context.Context) {
+// startConsultation pulls from all peers on another goroutine and posts the
+// results to the loop.
+func (f *Feed) startConsultation(ctx context.Context) {
 	view := f.cfg.Members.View()
 	start := f.cfg.Clock.Now()
 	f.consulting = true
 	f.cfg.Loop.Go(ctx, func(ctx context.Context) {
-		polls := f.askAll(ctx, view)
+		results := f.pullFromAll(ctx, view)
 		f.cfg.Loop.Post(func() {
 			f.consulting = false
-			f.consulted(view, polls, start)
+			f.finishConsultation(view, results, start)
 		})
 	})
 }
 
-// askAll pulls from the peers at once, also from those that count as gone: a
-// new process may run there.
-func (f *Feed) askAll(ctx context.Context, view *member.View) []poll {
+// pullFromAll pulls from the peers concurrently. It includes peers that are
+// considered gone, because a new process may run there.
+func (f *Feed) pullFromAll(ctx context.Context, view *member.View) []consultResult {
 	peers := view.Peers
-	if len(peers) > maxConsulted {
-		peers = sample(peers, maxConsulted)
+	if len(peers) > maxConsultedPeers {
+		peers = sample(peers, maxConsultedPeers)
 	}
-	polls := make([]poll, len(peers))
+	results := make([]consultResult, len(peers))
 	var wg sync.WaitGroup
 	for i := range peers {
 		wg.Go(func() {
 			if peers[i].PeerAddress == "" {
-				polls[i].err = errNotReady
+				results[i].err = errNotReady
 				return
 			}
-			polls[i].answer, polls[i].err = f.pull(ctx, peers[i].PeerAddress, 0)
+			results[i].pulled, results[i].err = f.pull(ctx, peers[i].PeerAddress, 0)
 		})
 	}
 	wg.Wait()
-	return polls
+	return results
 }
 
 func sample(peers []member.Peer, n int) []member.Peer {
@@ -65,37 +66,39 @@
 	return out
 }
 
-// consulted takes the answers of a consultation begun at start, on the loop.
-func (f *Feed) consulted(view *member.View, polls []poll, start clock.Time) {
-	for _, p := range polls {
-		if p.err == nil && p.answer.ready {
-			f.take(p.answer.update)
+// finishConsultation applies the results of a consultation that began at start.
+// It runs on the loop.
+func (f *Feed) finishConsultation(view *member.View, results []consultResult, start clock.Time) {
+	for _, p := range results {
+		if p.err == nil && p.pulled.ready {
+			f.applyUpdate(p.pulled.update)
 		}
 	}
-	all := view.Complete && len(polls) == len(view.Peers)
-	self := f.contact.unreachable(f.cfg.Clock.Now(), f.cfg.Freshness)
+	askedAll := view.Complete && len(results) == len(view.Peers)
+	storeUnreachable := f.logReachability.unreachable(f.cfg.Clock.Now(), f.cfg.Freshness)
 	s := f.state.Load()
-	if all && self && agreement(s.version(), polls) {
-		f.take(update{version: s.version(), read: never, agreed: start})
+	if askedAll && storeUnreachable && provesNewest(s.version(), results) {
+		f.applyUpdate(update{version: s.version(), readAt: never, agreedAt: start})
 	}
 }
 
-// agreement reports whether the answers prove that no accepted change is
-// missing from version: every VM answered or has no process, none has a newer
-// version, and none reaches the store, without which nothing is accepted.
+// provesNewest reports whether the results prove that version includes every
+// accepted change: every peer responded or refused the connection (no process
+// runs there), no peer has a newer version, and no peer can reach the store,
+// without which no change is accepted.
 //
-// The proof is only as good as the list of VMs. A VM that the list lacks
-// because it lags, whether new or removed too early, can reach the store and
-// accept a change that nobody here hears of; so can one that accepted a change
-// just before the outage and died before its push arrived anywhere.
-func agreement(version int64, polls []poll) bool {
+// The proof depends on a correct list of VMs. The list may lag and omit a VM
+// that is new or was removed too early; such a VM can reach the store and
+// accept a change unnoticed. A change is also missed if the VM that accepted it
+// just before the outage died before its push reached any other VM.
+func provesNewest(version int64, results []consultResult) bool {
 	if version == noVersion {
 		return false
 	}
-	for _, p := range polls {
+	for _, p := range results {
 		switch {
 		case errors.Is(p.err, syscall.ECONNREFUSED):
-		case p.err != nil || !p.answer.unreachable || p.answer.update.version > version:
+		case p.err != nil || !p.pulled.unreachable || p.pulled.update.version > version:
 			return false
 		}
 	}
--- a/pkg/feed/contact.go
+++ b/pkg/feed/contact.go
@@ -7,65 +7,68 @@
 	"crocusramp.dev/crocusramp/pkg/clock"
 )
 
-// contact remembers how this VM's attempts to reach the store ended. It is
-// safe for concurrent use.
-type contact struct {
+// reachability records whether this VM's attempts to reach the store
+// succeeded. It is safe for concurrent use.
+type reachability struct {
 	mu sync.Mutex
-	attempts
+	attemptRecord
 }
 
-// attempts is what a contact remembers.
-type attempts struct {
-	// attempt is the start of the newest attempt that has ended, ok whether it was answered.
-	attempt clock.Time
-	ok      bool
-	// answer is when the store last answered.
-	answer clock.Time
+// attemptRecord is the state of a reachability.
+type attemptRecord struct {
+	// lastAttempt is the start of the newest attempt that has ended; reachable
+	// reports whether the store responded to it.
+	lastAttempt clock.Time
+	reachable   bool
+	// lastResponse is when the store last responded.
+	lastResponse clock.Time
 }
 
-func newContact() *contact { return &contact{attempts: attempts{attempt: never, answer: never}} }
+func newReachability() *reachability {
+	return &reachability{attemptRecord: attemptRecord{lastAttempt: never, lastResponse: never}}
+}
 
-// answered notes an attempt begun at start that was answered at now.
-func (c *contact) answered(start, now clock.Time) {
+// recordResponse records an attempt that began at start and got a response at now.
+func (c *reachability) recordResponse(start, now clock.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answer = max(c.answer, now)
-	c.end(start, true)
+	c.lastResponse = max(c.lastResponse, now)
+	c.recordAttempt(start, true)
 }
 
-// failed notes an attempt begun at start that was not answered.
-func (c *contact) failed(start clock.Time) {
+// recordFailure records an attempt that began at start and got no response.
+func (c *reachability) recordFailure(start clock.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.end(start, false)
+	c.recordAttempt(start, false)
 }
 
-func (c *contact) end(start clock.Time, ok bool) {
-	if start >= c.attempt {
-		c.attempt, c.ok = start, ok
+func (c *reachability) recordAttempt(start clock.Time, ok bool) {
+	if start >= c.lastAttempt {
+		c.lastAttempt, c.reachable = start, ok
 	}
 }
 
-// newestStatus reports whether the newest attempt of two contacts was answered, and when the
-// store last answered one.
-func newestStatus(a, b *contact) (ok bool, last clock.Time) {
-	first, second := a.copy(), b.copy()
-	if second.attempt > first.attempt {
+// combinedStatus reports whether the newest attempt in a and b got a response,
+// and when the store last responded to either.
+func combinedStatus(a, b *reachability) (ok bool, last clock.Time) {
+	first, second := a.load(), b.load()
+	if second.lastAttempt > first.lastAttempt {
 		first, second = second, first
 	}
-	return first.ok, max(first.answer, second.answer)
+	return first.reachable, max(first.lastResponse, second.lastResponse)
 }
 
-func (c *contact) copy() attempts {
+func (c *reachability) load() attemptRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.attempts
+	return c.attemptRecord
 }
 
-// unreachable reports whether the newest attempt failed and was begun within
-// the given time.
-func (c *contact) unreachable(now clock.Time, within time.Duration) bool {
+// unreachable reports whether the newest attempt failed and began at most
+// within before now.
+func (c *reachability) unreachable(now clock.Time, within time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.attempt != never && !c.ok && now.Sub(c.attempt) <= within
+	return c.lastAttempt != never && !c.reachable && now.Sub(c.lastAttempt) <= within
 }
--- a/pkg/feed/fake_fleet_test.go
+++ b/pkg/feed/fake_fleet_test.go
@@ -16,19 +16,21 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// vmTable is one VM's way to the table.
+// vmTable is one VM's connection to the table.
 type vmTable struct {
 	*fakeStore
-	cut   atomic.Bool
-	reads atomic.Int64
-	// cutAfterRead cuts it off after the next read of a list.
-	cutAfterRead atomic.Bool
-	// delay is the time to the table and back.
+	// disconnected makes every call fail.
+	disconnected atomic.Bool
+	reads        atomic.Int64
+	// disconnectAfterRead disconnects the VM after the next List.
+	disconnectAfterRead atomic.Bool
+	// delay is the round trip time to the table, in nanoseconds.
 	delay atomic.Int64
 }
 
-// wait reports whether the answer comes before the caller gives up. That is decided at the
-// start: after a stall of the process both timers are due, and either may fire first.
+// wait waits for the round trip and reports whether the response arrives before
+// the caller's deadline. It decides that at the start: after a stall of the
+// process both timers are due, and either may fire first.
 func (v *vmTable) wait(ctx context.Context) bool {
 	delay := time.Duration(v.delay.Load())
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < delay {
@@ -39,25 +41,25 @@
 }
 
 func (v *vmTable) Get(ctx context.Context, key storage.Key) (storage.Item, error) {
-	if !v.wait(ctx) || v.cut.Load() {
+	if !v.wait(ctx) || v.disconnected.Load() {
 		return storage.Item{}, storage.ErrUnavailable
 	}
 	return v.fakeStore.Get(ctx, key)
 }
 
 func (v *vmTable) List(ctx context.Context, partition, after string, limit int) ([]storage.Item, error) {
-	if !v.wait(ctx) || v.cut.Load() {
+	if !v.wait(ctx) || v.disconnected.Load() {
 		return nil, storage.ErrUnavailable
 	}
 	v.reads.Add(1)
-	if v.cutAfterRead.Load() {
-		defer v.cut.Store(true)
+	if v.disconnectAfterRead.Load() {
+		defer v.disconnected.Store(true)
 	}
 	return v.fakeStore.List(ctx, partition, after, limit)
 }
 
 func (v *vmTable) Transact(ctx context.Context, writes []storage.Write) error {
-	if v.cut.Load() {
+	if v.disconnected.Load() {
 		return storage.ErrUnavailable
 	}
 	err := v.fakeStore.Transact(ctx, writes)
@@ -67,20 +69,20 @@
 	return err
 }
 
-// vm is a daemon's feed with its listener.
+// vm is a VM's feed with its listener.
 type vm struct {
 	*Feed
 	table  *vmTable
 	server *httptest.Server
 	peer   member.Peer
-	// cut drops everything from and to the other VMs, without an answer.
-	cut    atomic.Bool
-	cancel context.CancelFunc
-	// delay is the time to a peer and back; nil means none.
+	// partitioned drops all messages from and to the other VMs without a response.
+	partitioned atomic.Bool
+	cancel      context.CancelFunc
+	// delay returns the round trip time to a peer; nil means none.
 	delay func(address string) time.Duration
 }
 
-// fleet is some VMs on one store.
+// fleet is a set of VMs that share one store.
 type fleet struct {
 	t     testing.TB
 	store *fakeStore
@@ -89,8 +91,8 @@
 	cfg   Config
 }
 
-// quick scales the timings down, so that failures are found out sooner.
-var quick = Config{
+// fastConfig scales the timings down, so that failures are detected sooner.
+var fastConfig = Config{
 	Freshness:   900 * time.Millisecond,
 	Poll:        100 * time.Millisecond,
 	ReadTimeout: 200 * time.Millisecond,
@@ -107,14 +109,14 @@
 	f.start()
 	t.Cleanup(func() {
 		if t.Failed() {
-			f.describe()
+			f.logStatus()
 		}
 	})
 	return f
 }
 
-// describe logs what each VM knows of its configuration.
-func (f *fleet) describe() {
+// logStatus logs the status of each VM.
+func (f *fleet) logStatus() {
 	for _, v := range f.vms {
 		s := v.Status()
 		f.t.Logf("%s: version %d, age %s, store reachable %t, %s ago, table read %d times",
@@ -122,14 +124,15 @@
 	}
 }
 
-// add makes a VM that is not yet started.
+// add adds a VM without starting it.
 func (f *fleet) add(domain string) *vm {
 	v := &vm{table: &vmTable{fakeStore: f.store}}
 	id := fmt.Sprintf("vm%d", len(f.vms))
 	mux := http.NewServeMux()
 	v.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if v.cut.Load() {
-			_, _ = io.Copy(io.Discard, r.Body) // or the end of the connection goes unseen
+		if v.partitioned.Load() {
+			// The server detects a closed connection only after the body has been read.
+			_, _ = io.Copy(io.Discard, r.Body)
 			<-r.Context().Done()
 			return
 		}
@@ -143,9 +146,9 @@
 	cfg := f.cfg
 	cfg.Table, cfg.Objects = v.table, objectStore{f.store}
 	cfg.Self = v.peer
-	cfg.Members = viewOf{f, v}
+	cfg.Members = fleetView{f, v}
 	v.Feed = newFeed(f.t, cfg)
-	v.cfg.Peers.HTTP().Transport = cutTransport{v, v.cfg.Peers.HTTP().Transport}
+	v.cfg.Peers.HTTP().Transport = partitionTransport{v, v.cfg.Peers.HTTP().Transport}
 	prefix, h := v.Handler()
 	mux.Handle(prefix, h)
 	f.mu.Lock()
@@ -154,7 +157,7 @@
 	return v
 }
 
-// start starts the VMs that do not run yet.
+// start starts the VMs that are not running yet.
 func (f *fleet) start() {
 	for _, v := range f.vms {
 		if v.cancel != nil {
@@ -167,13 +170,13 @@
 	}
 }
 
-// viewOf is the fleet as one VM sees it.
-type viewOf struct {
+// fleetView is a member.Source that shows the fleet as one VM sees it.
+type fleetView struct {
 	fleet *fleet
 	self  *vm
 }
 
-func (v viewOf) View() *member.View {
+func (v fleetView) View() *member.View {
 	v.fleet.mu.Lock()
 	defer v.fleet.mu.Unlock()
 	view := &member.View{Self: v.self.peer, Complete: true}
@@ -185,13 +188,14 @@
 	return view
 }
 
-type cutTransport struct {
+// partitionTransport applies the VM's partition and delay to its outgoing calls.
+type partitionTransport struct {
 	vm   *vm
 	next http.RoundTripper
 }
 
-func (c cutTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	if c.vm.cut.Load() {
+func (c partitionTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if c.vm.partitioned.Load() {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
@@ -201,10 +205,11 @@
 	return c.next.RoundTrip(r)
 }
 
-// CloseIdleConnections lets http.Client close what it keeps open.
-func (c cutTransport) CloseIdleConnections() { c.next.(*http.Transport).CloseIdleConnections() }
+// CloseIdleConnections lets http.Client close the idle connections of the wrapped transport.
+func (c partitionTransport) CloseIdleConnections() { c.next.(*http.Transport).CloseIdleConnections() }
 
-func (f *fleet) all(ok func(*vm) bool) func() bool {
+// every returns a condition that holds when ok holds for every VM.
+func (f *fleet) every(ok func(*vm) bool) func() bool {
 	return func() bool {
 		for _, v := range f.vms {
 			if !ok(v) {
--- a/pkg/feed/fake_test.go
+++ b/pkg/feed/fake_test.go
@@ -18,31 +18,32 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// fakeStore is a table and an object store in memory, with faults.
+// fakeStore is an in-memory table and object store that can inject faults.
 type fakeStore struct {
 	mu      sync.Mutex
 	items   map[storage.Key]storage.Item
 	objects map[string][]byte
 	reads   int
 	writes  int
-	// down refuses everything.
+	// down makes every call fail without effect.
 	down bool
-	// downAfter takes the store down once it has had that many writes; 0
-	// leaves it up.
+	// downAfter makes the store go down after that many writes; 0 never does.
 	downAfter int
-	// failGets refuses that many reads of single rows.
+	// failGets is the number of reads of single rows that fail next.
 	failGets int
-	// lose loses the answers to that many writes after they took effect.
-	lose int
-	// drop loses that many writes before they take effect, with an unknown
-	// outcome all the same.
-	drop int
-	// late holds back that many writes, with an unknown outcome, until the
-	// next write of the same row has been refused or accepted.
-	late    int
-	delayed []storage.Write
-	// beforeWrite and afterWrite run before a write and after its effect,
-	// without the lock.
+	// loseResponses is the number of next successful writes whose response is
+	// lost.
+	loseResponses int
+	// dropWrites is the number of next writes that have no effect; the caller
+	// still gets an unknown outcome.
+	dropWrites int
+	// delayWrites is the number of next writes that are held back, with an
+	// unknown outcome. They are applied after the next write that is not held
+	// back, if their condition still holds.
+	delayWrites   int
+	delayedWrites []storage.Write
+	// beforeWrite and afterWrite run before a write and after it took effect,
+	// without holding the lock.
 	beforeWrite, afterWrite func()
 }
 
@@ -117,22 +118,22 @@
 	if s.down {
 		return storage.ErrUnavailable
 	}
-	if s.drop > 0 {
-		s.drop--
+	if s.dropWrites > 0 {
+		s.dropWrites--
 		return storage.ErrIndeterminate
 	}
-	if s.late > 0 {
-		s.late--
-		s.delayed = append(s.delayed, writes...)
+	if s.delayWrites > 0 {
+		s.delayWrites--
+		s.delayedWrites = append(s.delayedWrites, writes...)
 		return storage.ErrIndeterminate
 	}
 	err := s.commit(writes)
-	for _, w := range s.delayed {
+	for _, w := range s.delayedWrites {
 		_ = s.commit([]storage.Write{w})
 	}
-	s.delayed = nil
-	if err == nil && s.lose > 0 {
-		s.lose--
+	s.delayedWrites = nil
+	if err == nil && s.loseResponses > 0 {
+		s.loseResponses--
 		return storage.ErrIndeterminate
 	}
 	return err
@@ -158,7 +159,7 @@
 	return nil
 }
 
-// rows returns the log's changes in order.
+// rows returns the changes of the log in order of version.
 func (s *fakeStore) rows(t *testing.T) []config.Change {
 	t.Helper()
 	s.mu.Lock()
@@ -184,7 +185,7 @@
 	return changes
 }
 
-// objectStore gives the fake the methods of storage.Objects.
+// objectStore makes a fakeStore a storage.Objects.
 type objectStore struct{ *fakeStore }
 
 func (s objectStore) Get(_ context.Context, name string) ([]byte, error) {
@@ -210,13 +211,13 @@
 	return nil
 }
 
-// noPeers is the view of a VM that knows no other.
+// noPeers is a member.Source without any peer.
 type noPeers struct{}
 
 func (noPeers) View() *member.View { return &member.View{} }
 
-// newFeed returns a feed whose loop runs until the test ends. It is not
-// started: tests call its steps, or Start.
+// newFeed returns a feed whose loop runs until the test ends. The feed is not
+// started: tests call its methods directly, or Start.
 func newFeed(t testing.TB, cfg Config) *Feed {
 	ctx, cancel := context.WithCancel(context.Background())
 	cfg.Loop = control.NewLoop()
@@ -234,7 +235,8 @@
 	return New(cfg)
 }
 
-// eventually polls until ok, with a bound far above any pass.
+// eventually polls until ok holds. The timeout of 30 s is far longer than any
+// successful wait.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
--- a/pkg/feed/fault_test.go
+++ b/pkg/feed/fault_test.go
@@ -17,18 +17,20 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// verdict is what an operator was told of a change.
-type verdict int
+// proposalOutcome is the result of a proposal as reported to the operator.
+type proposalOutcome int
 
 const (
-	accepted verdict = iota
+	accepted proposalOutcome = iota
 	refused
 	unknown
 )
 
-// Under any mix of lost answers, lost writes, writes that take effect late,
-// outages and racing VMs, an accepted change is in the log once, at its
-// version; a refused one is not and never will be; every VM agrees on the log.
+// TestProposeUnderFaults guards against proposals whose reported outcome differs
+// from the log. Under any mix of lost responses, lost writes, delayed writes,
+// outages and concurrent proposals, an accepted change is in the log exactly
+// once, at its version; a refused one is not in the log and never will be; and
+// every VM can replay the log.
 func TestProposeUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -45,13 +47,13 @@
 				<-end
 			}
 		}()
-		told := map[string]verdict{}
+		outcomes := map[string]proposalOutcome{}
 		versions := map[string]int64{}
 		for i := range rapid.IntRange(1, 12).Draw(t, "changes") {
 			s.set(func(s *fakeStore) {
-				s.lose = rapid.IntRange(0, 2).Draw(t, "lose")
-				s.drop = rapid.IntRange(0, 2).Draw(t, "drop")
-				s.late = rapid.IntRange(0, 2).Draw(t, "late")
+				s.loseResponses = rapid.IntRange(0, 2).Draw(t, "lose")
+				s.dropWrites = rapid.IntRange(0, 2).Draw(t, "drop")
+				s.delayWrites = rapid.IntRange(0, 2).Draw(t, "late")
 				s.failGets = rapid.IntRange(0, 2).Draw(t, "failed reads")
 				s.beforeWrite = nil
 			})
@@ -63,7 +65,7 @@
 				s.set(func(s *fakeStore) {
 					s.beforeWrite = func() {
 						s.set(func(s *fakeStore) { s.beforeWrite = nil })
-						told[rivalName], versions[rivalName] = tell(rival, rivalName)
+						outcomes[rivalName], versions[rivalName] = proposeAccount(rival, rivalName)
 					}
 				})
 			}
@@ -71,19 +73,19 @@
 				failAfter := rapid.IntRange(0, 3).Draw(t, "writes before")
 				s.set(func(s *fakeStore) { s.downAfter = s.writes + failAfter })
 			}
-			told[name], versions[name] = tell(f, name)
+			outcomes[name], versions[name] = proposeAccount(f, name)
 			s.set(func(s *fakeStore) { s.downAfter, s.failGets, s.down = 0, 0, false })
 		}
-		// Whatever is still on its way takes effect now, if it can.
+		// Apply the delayed writes whose condition still holds.
 		s.set(func(s *fakeStore) {
-			for _, w := range s.delayed {
+			for _, w := range s.delayedWrites {
 				_ = s.commit([]storage.Write{w})
 			}
-			s.delayed, s.lose, s.drop, s.late, s.beforeWrite = nil, 0, 0, 0, nil
+			s.delayedWrites, s.loseResponses, s.dropWrites, s.delayWrites, s.beforeWrite = nil, 0, 0, 0, nil
 		})
-		checkLog(t, s, told, versions)
+		checkLog(t, s, outcomes, versions)
 		for i, f := range feeds {
-			if c, err := f.catchUp(ctx); err != nil || len(c.Accounts) != len(logged(t, s)) {
+			if c, err := f.catchUp(ctx); err != nil || len(c.Accounts) != len(loggedVersions(t, s)) {
 				t.Fatalf("vm %d cannot replay the log: %v", i, err)
 			}
 		}
@@ -100,11 +102,11 @@
 	}), end
 }
 
-// tell proposes the creation of an account and returns what the operator hears.
-func tell(f *Feed, name string) (verdict, int64) {
+// proposeAccount proposes the creation of an account and returns the reported outcome.
+func proposeAccount(f *Feed, name string) (proposalOutcome, int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Millisecond)
 	defer cancel()
-	v, err := f.Propose(ctx, create(name), 0)
+	v, err := f.Propose(ctx, createAccount(name), 0)
 	var u *UnknownError
 	switch {
 	case err == nil:
@@ -116,8 +118,8 @@
 	}
 }
 
-// logged returns the version of each account in the log.
-func logged(t *rapid.T, s *fakeStore) map[string]int64 {
+// loggedVersions returns the version of each account in the log.
+func loggedVersions(t *rapid.T, s *fakeStore) map[string]int64 {
 	found := map[string]int64{}
 	for v := int64(1); ; v++ {
 		item, err := s.Get(context.Background(), rowKey(v))
@@ -136,9 +138,10 @@
 	}
 }
 
-func checkLog(t *rapid.T, s *fakeStore, told map[string]verdict, versions map[string]int64) {
-	found := logged(t, s)
-	for name, v := range told {
+// checkLog checks that the log matches the outcomes and versions reported to the operators.
+func checkLog(t *rapid.T, s *fakeStore, outcomes map[string]proposalOutcome, versions map[string]int64) {
+	found := loggedVersions(t, s)
+	for name, v := range outcomes {
 		at, in := found[name]
 		switch {
 		case v == accepted && at != versions[name]:
--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -1,6 +1,7 @@
-// Package feed brings the configuration to every VM. The platform's table
-// holds a log with one row for each version; one VM of each failure domain
-// relays it to the others, and each VM knows how old its version may be.
+// Package feed distributes the configuration to every VM. The platform's table
+// holds a log with one row for each version. One VM of each failure domain
+// reads the log and relays it to the others. Each VM tracks how long ago its
+// version was known to be the newest.
 package feed
 
 import (
@@ -24,38 +25,38 @@
 const (
 	// noVersion is the version of a VM that has no configuration.
 	noVersion int64 = -1
-	// maxTailEntries and maxTailBytes bound the changes kept for peers that
-	// are behind; a peer further behind gets a whole snapshot.
+	// maxTailEntries and maxTailBytes bound the recent changes that are kept for
+	// peers with an older version; a peer further behind gets a whole snapshot.
 	maxTailEntries = 512
 	maxTailBytes   = 1 << 20
-	// maxReads is how many reads of the store run at once, so that a slow
-	// store does not lower the rate of reads.
-	maxReads = 4
+	// maxConcurrentReads is how many reads of the store may be in flight at
+	// once, so that a slow store does not lower the rate of reads.
+	maxConcurrentReads = 4
 
-	defaultFreshness   = 3 * time.Second
-	defaultPoll        = 500 * time.Millisecond
-	defaultReadTimeout = 700 * time.Millisecond
-	defaultSnapshots   = 256
-	defaultRelayLease  = 5 * time.Second
-	defaultPullWait    = 500 * time.Millisecond
-	defaultPeerTimeout = time.Second
+	defaultMaxAge        = 3 * time.Second
+	defaultPollInterval  = 500 * time.Millisecond
+	defaultReadTimeout   = 700 * time.Millisecond
+	defaultSnapshotEvery = 256
+	defaultRelayLease    = 5 * time.Second
+	defaultPullWait      = 500 * time.Millisecond
+	defaultPeerTimeout   = time.Second
 
-	// patienceMin and patienceMax bound, as parts of the freshness bound, how
-	// old a read may be before a VM reads the store itself. Two levels of
-	// followers below a relay reach half of the bound.
-	patienceMin = 0.55
-	patienceMax = 0.65
-	// consultAfter is the part of the freshness bound after which a VM asks
-	// all others.
+	// fallbackAgeMin and fallbackAgeMax bound a VM's fallbackAge, as fractions
+	// of the freshness bound. Through two levels of followers below a relay, a
+	// read reaches an age of half the bound.
+	fallbackAgeMin = 0.55
+	fallbackAgeMax = 0.65
+	// consultAfter is the age of the configuration, as a fraction of the
+	// freshness bound, above which a VM consults all peers.
 	consultAfter = 0.6
 
-	// stepsPerPoll is how often in a poll period the duties are looked at.
+	// stepsPerPoll is how many times per poll interval the VM checks what work is due.
 	stepsPerPoll = 2
-	// renewalsPerLease is how often in its term a lease is renewed.
+	// renewalsPerLease is how many times per lease duration the lease is renewed.
 	renewalsPerLease = 3
 )
 
-// Config holds what a Feed needs.
+// Config holds the dependencies and settings of a Feed.
 type Config struct {
 	Table   storage.Table
 	Objects storage.Objects
@@ -69,34 +70,35 @@
 	// Metrics receives the feed's metrics; nil drops them.
 	Metrics metrics.Registry
 
-	// Freshness is the longest time since the configuration was known to be
-	// the newest for which keyed routes are served; default 3 s.
+	// Freshness bounds the age of a fresh configuration: the time since it was
+	// known to be the newest. Keyed routes are served only while the
+	// configuration is fresh. Default 3 s.
 	Freshness time.Duration
-	// Poll is the period in which the store is read; default 500 ms.
+	// Poll is the interval between periodic reads of the store; default 500 ms.
 	Poll time.Duration
 	// ReadTimeout bounds a periodic read of the store; default 700 ms. A
 	// store slower than that counts as unreachable.
 	ReadTimeout time.Duration
-	// RelayLease is how long a failure domain waits for a relay that is gone
-	// before another VM takes over; default 5 s. Until then its VMs read the
-	// store themselves.
+	// RelayLease is the duration of a relay's lease: after a relay dies, another
+	// VM of the failure domain takes over when this time has passed. Until then
+	// its VMs read the store themselves. Default 5 s.
 	RelayLease time.Duration
-	// PullWait is how long a relay holds a call while nothing changes;
-	// default 500 ms. A longer one ages the other VMs' configuration, a
-	// shorter one costs messages.
+	// PullWait is how long a pull (a long poll) waits for a new version; default
+	// 500 ms. A longer wait lets the followers' configuration age more, a shorter
+	// one costs more messages.
 	PullWait time.Duration
-	// PeerTimeout bounds a call to a peer, besides PullWait; default 1 s.
+	// PeerTimeout bounds a call to a peer, in addition to PullWait; default 1 s.
 	PeerTimeout time.Duration
 	// SnapshotEvery is the number of changes between two snapshots in the
-	// object store; default 256. A booting VM reads up to that many rows.
+	// object store; default 256. A starting VM reads up to that many rows.
 	SnapshotEvery int64
 }
 
 func (c Config) withDefaults() Config {
-	setDefault(&c.Freshness, defaultFreshness)
-	setDefault(&c.Poll, defaultPoll)
+	setDefault(&c.Freshness, defaultMaxAge)
+	setDefault(&c.Poll, defaultPollInterval)
 	setDefault(&c.ReadTimeout, defaultReadTimeout)
-	setDefault(&c.SnapshotEvery, defaultSnapshots)
+	setDefault(&c.SnapshotEvery, defaultSnapshotEvery)
 	setDefault(&c.RelayLease, defaultRelayLease)
 	setDefault(&c.PullWait, defaultPullWait)
 	setDefault(&c.PeerTimeout, defaultPeerTimeout)
@@ -106,7 +108,7 @@
 	return c
 }
 
-// fraction returns a part of d.
+// fraction returns d multiplied by part.
 func fraction(d time.Duration, part float64) time.Duration {
 	return time.Duration(float64(d) * part)
 }
@@ -118,43 +120,45 @@
 	}
 }
 
-// Feed holds the configuration of one VM.
+// Feed keeps the configuration of one VM up to date.
 type Feed struct {
 	cfg   Config
 	store store
-	// state is written by the loop alone.
+	// state is written only by the loop.
 	state atomic.Pointer[state]
-	// proposing admits one proposal at a time, so that operators of one VM
-	// do not race each other for a version.
-	proposing chan struct{}
-	contact   *contact
-	// leaseContact is of the relay's lease. It says nothing on whether changes can be
-	// accepted, so agreement does not rest on it.
-	leaseContact *contact
-	meters       meters
+	// proposalSem admits one proposal at a time, so that the operators of one
+	// VM do not compete with each other for a version.
+	proposalSem chan struct{}
+	// logReachability covers the reads and writes of the log.
+	logReachability *reachability
+	// leaseReachability covers the relay lease. It does not show whether
+	// changes can be accepted, so agreement does not depend on it.
+	leaseReachability *reachability
+	meters            meters
 
 	// relay is the lease of this failure domain as last seen. It is written
-	// by the loop alone.
+	// only by the loop.
 	relay atomic.Pointer[observation]
-	// patience is how old a read of the store may be before this VM reads
-	// itself; it differs from VM to VM, so that not all do so at once.
-	patience time.Duration
+	// fallbackAge is the age of the last known read of the store above which
+	// this VM reads the store itself. It is random for each VM, so that they do
+	// not all read at once.
+	fallbackAge time.Duration
 
-	// The loop owns the rest.
-	reads        int
-	nextRead     clock.Time
-	campaigning  bool
-	nextCampaign clock.Time
-	consulting   bool
+	// The fields below are used only on the loop.
+	readsInFlight int
+	nextRead      clock.Time
+	campaigning   bool
+	nextCampaign  clock.Time
+	consulting    bool
 }
 
-// New returns a Feed that Start must start.
+// New returns a Feed. Call Start to run it.
 func New(cfg Config) *Feed {
 	f := &Feed{
-		cfg:       cfg.withDefaults(),
-		store:     store{table: cfg.Table, objects: cfg.Objects},
-		proposing: make(chan struct{}, 1),
-		contact:   newContact(), leaseContact: newContact(),
+		cfg:             cfg.withDefaults(),
+		store:           store{table: cfg.Table, objects: cfg.Objects},
+		proposalSem:     make(chan struct{}, 1),
+		logReachability: newReachability(), leaseReachability: newReachability(),
 	}
 	f.meters = newMeters(f.cfg.Metrics)
 	f.state.Store(newState())
@@ -162,52 +166,52 @@
 	_ = f.cfg.Metrics.Register("feed.age_ms", metrics.NewFunctionalGauge(func() int64 {
 		return f.Status().Age.Milliseconds()
 	}))
-	f.patience = fraction(f.cfg.Freshness, patienceMin+rand.Float64()*(patienceMax-patienceMin))
+	f.fallbackAge = fraction(f.cfg.Freshness, fallbackAgeMin+rand.Float64()*(fallbackAgeMax-fallbackAgeMin))
 	return f
 }
 
-// Start begins to follow the configuration until ctx ends.
+// Start follows the configuration in the background until ctx ends.
 func (f *Feed) Start(ctx context.Context) {
 	f.nextRead, f.nextCampaign = f.cfg.Clock.Now(), f.cfg.Clock.Now()
 	f.cfg.Loop.Every(ctx, f.cfg.Poll/stepsPerPoll, func() { f.step(ctx) })
 	f.cfg.Loop.Go(ctx, f.follow)
 }
 
-// isRelay reports whether this VM relays for its failure domain.
+// isRelay reports whether this VM is the relay of its failure domain.
 func (f *Feed) isRelay() bool {
 	o := f.relay.Load()
 	return o.known && o.revision > 0 && o.row.Incarnation == f.cfg.Self.Incarnation
 }
 
-// step starts the work that is due, on the loop.
+// step starts the work that is due. It runs on the loop.
 func (f *Feed) step(ctx context.Context) {
 	now, s := f.cfg.Clock.Now(), f.state.Load()
 	o := f.relay.Load()
-	d := decide(situation{
+	d := currentDuties(dutyInputs{
 		now:          now,
-		relay:        f.isRelay(),
+		isRelay:      f.isRelay(),
 		relayKnown:   o.known && o.revision > 0,
-		readAge:      now.Sub(s.read),
+		readAge:      now.Sub(s.readAt),
 		age:          s.age(now),
-		patience:     f.patience,
-		freshness:    f.cfg.Freshness,
+		fallbackAge:  f.fallbackAge,
+		maxAge:       f.cfg.Freshness,
 		nextRead:     f.nextRead,
 		nextCampaign: f.nextCampaign,
 	})
 	if d.read {
 		f.nextRead = now.Add(f.cfg.Poll)
-		f.read(ctx)
+		f.startRead(ctx)
 	}
 	if d.campaign && !f.campaigning {
 		f.nextCampaign = now.Add(f.cfg.RelayLease / renewalsPerLease)
 		f.startCampaign(ctx, *o)
 	}
 	if d.consult && !f.consulting {
-		f.startConsult(ctx)
+		f.startConsultation(ctx)
 	}
 }
 
-// startCampaign runs a campaign beside the loop.
+// startCampaign runs campaign on another goroutine and posts its result to the loop.
 func (f *Feed) startCampaign(ctx context.Context, o observation) {
 	f.campaigning = true
 	f.cfg.Loop.Go(ctx, func(ctx context.Context) {
@@ -215,83 +219,84 @@
 		f.cfg.Loop.Post(func() {
 			f.campaigning = false
 			if err != nil {
-				f.cfg.Log.Debug().Err(err).Msg("relay lease not renewed")
+				f.cfg.Log.Debug().Err(err).Msg("failed to renew the relay lease")
 			}
 			f.setRelay(o)
 		})
 	})
 }
 
-// setRelay publishes who relays, on the loop.
+// setRelay publishes which VM is the relay. It runs on the loop.
 func (f *Feed) setRelay(o observation) {
 	before := f.relay.Load()
 	f.relay.Store(&o)
 	if before.row.Incarnation != o.row.Incarnation {
-		f.cfg.Log.Info().Str("relay", o.row.ID).Str("failure_domain", f.cfg.Self.FailureDomain).Msg("configuration relay")
+		f.cfg.Log.Info().Str("relay", o.row.ID).Str("failure_domain", f.cfg.Self.FailureDomain).Msg("configuration relay changed")
 	}
 }
 
-// Snapshot returns the configuration in force. It is the empty one until
-// Ready. It costs an atomic load and a reading of the clock.
+// Snapshot returns the configuration in force, or the empty configuration
+// until Ready. It costs an atomic load and a reading of the clock.
 func (f *Feed) Snapshot() config.Snapshot {
 	s := f.state.Load()
 	if s.config == nil {
-		return config.Snapshot{Config: empty}
+		return config.Snapshot{Config: emptyConfig}
 	}
 	return config.Snapshot{Config: s.config, Fresh: s.age(f.cfg.Clock.Now()) <= f.cfg.Freshness}
 }
 
-var empty = config.Empty()
+var emptyConfig = config.Empty()
 
 // Ready reports whether the VM has a configuration, fresh or not.
 func (f *Feed) Ready() bool { return f.state.Load().config != nil }
 
-// read starts a read of the log, on the loop.
-func (f *Feed) read(ctx context.Context) {
-	if f.reads >= maxReads {
+// startRead starts a read of the log, unless maxConcurrentReads are in flight.
+// It runs on the loop.
+func (f *Feed) startRead(ctx context.Context) {
+	if f.readsInFlight >= maxConcurrentReads {
 		return
 	}
-	f.reads++
+	f.readsInFlight++
 	f.cfg.Loop.Go(ctx, func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, f.cfg.ReadTimeout)
 		defer cancel()
 		u, err := f.fetch(ctx)
 		f.cfg.Loop.Post(func() {
-			f.reads--
-			f.readDone(u, err)
+			f.readsInFlight--
+			f.finishRead(u, err)
 		})
 	})
 }
 
-// readDone takes the result of a read, on the loop.
-func (f *Feed) readDone(u update, err error) {
+// finishRead applies the result of a read. It runs on the loop.
+func (f *Feed) finishRead(u update, err error) {
 	if err != nil {
 		f.meters.readErrors.Inc(1)
-		f.cfg.Log.Debug().Err(err).Msg("configuration read failed")
+		f.cfg.Log.Debug().Err(err).Msg("failed to read the configuration from the store")
 		return
 	}
-	f.take(u)
+	f.applyUpdate(u)
 }
 
-// fetch reads what is new in the store since the version at hand.
+// fetch reads the changes in the store that are newer than the current version.
 func (f *Feed) fetch(ctx context.Context) (update, error) {
 	f.meters.reads.Inc(1)
 	start := f.cfg.Clock.Now()
-	u := update{read: start, agreed: never, version: f.state.Load().version()}
+	u := update{readAt: start, agreedAt: never, version: f.state.Load().version()}
 	if u.version == noVersion {
-		c, err := f.store.boot(ctx)
+		c, err := f.store.loadSnapshot(ctx)
 		if err != nil {
-			f.contact.failed(start)
+			f.logReachability.recordFailure(start)
 			return update{}, err
 		}
 		u.snapshot, u.version = c, c.Version
 	}
-	entries, err := f.store.after(ctx, u.version)
+	entries, err := f.store.changesAfter(ctx, u.version)
 	if err != nil {
-		f.contact.failed(start)
+		f.logReachability.recordFailure(start)
 		return update{}, err
 	}
-	f.contact.answered(start, f.cfg.Clock.Now())
+	f.logReachability.recordResponse(start, f.cfg.Clock.Now())
 	u.entries = entries
 	if n := len(entries); n > 0 {
 		u.version = entries[n-1].change.Version
@@ -299,56 +304,57 @@
 	return u, nil
 }
 
-// take applies an update and publishes the state, on the loop.
-func (f *Feed) take(u update) {
+// applyUpdate applies an update and publishes the new state. It runs on the loop.
+func (f *Feed) applyUpdate(u update) {
 	s := f.state.Load()
-	next, err := s.with(u)
+	next, err := s.withUpdate(u)
 	if err != nil && !errors.Is(err, errGap) {
-		f.cfg.Log.Error().Err(err).Int64("version", next.version()).Msg("configuration change not applied")
+		f.cfg.Log.Error().Err(err).Int64("version", next.version()).Msg("failed to apply a configuration change")
 	}
 	f.state.Store(next)
 	if next.version() == s.version() {
 		return
 	}
-	close(s.newer)
+	close(s.superseded)
 	f.meters.version.Update(next.version())
 	f.cfg.Log.Info().Int64("from", s.version()).Int64("version", next.version()).Msg("configuration in force")
 }
 
-// Status is what a VM knows of its configuration.
+// Status describes a VM's configuration and its access to the store.
 type Status struct {
-	// Version is -1 where the VM has no configuration.
+	// Version is -1 if the VM has no configuration.
 	Version int64
-	// Age is how long ago, at the least, the version was known to be the
-	// newest. It is negative where it never was.
+	// Age is the time since the version was last known to be the newest. It is
+	// negative if it never was.
 	Age   time.Duration
 	Fresh bool
-	// Relay is the ID of the VM that relays to this one, or its own.
+	// Relay is the ID of the relay of this VM's failure domain, which may be the VM itself.
 	Relay string
-	// StoreReachable reports whether the newest attempt to read the store
-	// was answered.
+	// StoreReachable reports whether the store responded to the newest attempt
+	// to read it.
 	StoreReachable bool
-	// SinceStore is the time since the store last answered; negative where
-	// it never did.
+	// SinceStore is the time since the store last responded; negative if it
+	// never did.
 	SinceStore time.Duration
 }
 
-// Status returns the present status.
+// Status returns the current status.
 func (f *Feed) Status() Status {
 	now := f.cfg.Clock.Now()
 	s := f.state.Load()
-	reachable, last := newestStatus(f.contact, f.leaseContact)
+	reachable, last := combinedStatus(f.logReachability, f.leaseReachability)
 	return Status{
 		Version:        s.version(),
-		Age:            since(now, s.known()),
+		Age:            elapsed(now, s.knownNewestAt()),
 		Fresh:          s.age(now) <= f.cfg.Freshness,
 		Relay:          f.relay.Load().row.ID,
 		StoreReachable: reachable,
-		SinceStore:     since(now, last),
+		SinceStore:     elapsed(now, last),
 	}
 }
 
-func since(now, t clock.Time) time.Duration {
+// elapsed returns the time from t to now, or -1 if t is never.
+func elapsed(now, t clock.Time) time.Duration {
 	if t == never {
 		return -1
 	}
--- a/pkg/feed/fleet_test.go
+++ b/pkg/feed/fleet_test.go
@@ -17,17 +17,18 @@
 	return func(v *vm) bool { return v.Snapshot().Version >= n }
 }
 
-// grant creates an account with a key and returns the key's ID and text.
-func (f *fleet) grant(v *vm) (string, string) {
+// grantKey grants a key to a new or existing account, waits until all VMs have it
+// and returns the key's ID and text.
+func (f *fleet) grantKey(v *vm) (string, string) {
 	f.t.Helper()
 	if v.Snapshot().Accounts["moara"] == nil {
-		mustPropose(f.t, v.Feed, create("moara"))
+		mustPropose(f.t, v.Feed, createAccount("moara"))
 	}
 	key, text := keys.New("moara")
 	n := mustPropose(f.t, v.Feed, func(*config.Config) (config.Change, error) {
 		return config.Change{Action: config.Action{Key: config.Create(key.ID, key)}}, nil
 	})
-	eventually(f.t, "key granted everywhere", f.all(hasVersion(n)))
+	eventually(f.t, "key granted everywhere", f.every(hasVersion(n)))
 	return key.ID, text
 }
 
@@ -37,6 +38,7 @@
 	}
 }
 
+// reason returns why the VM refuses the key, or "" if it accepts it.
 func reason(v *vm, text string) outcome.Reason {
 	_, refusal := keys.Authenticate(v.Snapshot(), "Bearer "+text)
 	if refusal == nil {
@@ -47,30 +49,31 @@
 
 func TestFleetChangeInForceEverywhere(t *testing.T) {
 	f := newFleet(t, Config{}, "a", "a", "b", "b")
-	eventually(t, "all fresh", f.all(fresh))
+	eventually(t, "all fresh", f.every(fresh))
 	for i := range 20 {
 		start := time.Now()
-		n := mustPropose(t, f.vms[i%4].Feed, create(fmt.Sprint("account", i)))
-		eventually(t, "in force everywhere", f.all(hasVersion(n)))
+		n := mustPropose(t, f.vms[i%4].Feed, createAccount(fmt.Sprint("account", i)))
+		eventually(t, "in force everywhere", f.every(hasVersion(n)))
 		if d := time.Since(start); d > 4*time.Second {
 			t.Errorf("change %d took %v", i, d)
 		}
 	}
 }
 
-// Without pushes, the relays alone bring a change everywhere.
+// A change that is not pushed reaches every VM through the relays.
 func TestFleetRelaysWithoutPush(t *testing.T) {
-	f := newFleet(t, quick, "a", "a", "b", "b")
-	eventually(t, "all fresh", f.all(fresh))
+	f := newFleet(t, fastConfig, "a", "a", "b", "b")
+	eventually(t, "all fresh", f.every(fresh))
 	outside := newStoreFeed(t, f.store)
-	n := mustPropose(t, outside, create("a"))
-	eventually(t, "in force everywhere", f.all(hasVersion(n)))
+	n := mustPropose(t, outside, createAccount("a"))
+	eventually(t, "in force everywhere", f.every(hasVersion(n)))
 }
 
-// Reads of the store follow failure domains, not VMs.
+// Only relays read the store, so that the reads grow with the number of failure
+// domains, not of VMs.
 func TestFleetOnlyRelaysRead(t *testing.T) {
-	cfg := quick
-	cfg.Freshness = time.Minute // the others stay patient however slow the machine
+	cfg := fastConfig
+	cfg.Freshness = time.Minute // keeps the followers from reading the store on a slow machine
 	f := newFleet(t, cfg, "a", "a", "a", "b", "b", "b")
 	relays := func() (n int) {
 		for _, v := range f.vms {
@@ -81,13 +84,13 @@
 		return n
 	}
 	eventually(t, "one relay for each failure domain", func() bool { return relays() == 2 })
-	eventually(t, "all know their relay", f.all(func(v *vm) bool { return v.Status().Relay != "" }))
-	eventually(t, "first reads are over", f.all(func(v *vm) bool { return v.Status().Version == 0 }))
+	eventually(t, "all know their relay", f.every(func(v *vm) bool { return v.Status().Relay != "" }))
+	eventually(t, "first reads are over", f.every(func(v *vm) bool { return v.Status().Version == 0 }))
 	before := make([]int64, len(f.vms))
 	for i, v := range f.vms {
 		before[i] = v.table.reads.Load()
 	}
-	eventually(t, "relays read on", f.all(func(v *vm) bool {
+	eventually(t, "relays read on", f.every(func(v *vm) bool {
 		return !v.isRelay() || v.table.reads.Load() > before[indexOf(f, v)]+5
 	}))
 	for i, v := range f.vms {
@@ -108,7 +111,7 @@
 }
 
 func TestFleetRelayDies(t *testing.T) {
-	f := newFleet(t, quick, "a", "a", "a")
+	f := newFleet(t, fastConfig, "a", "a", "a")
 	var relay *vm
 	eventually(t, "a relay", func() bool {
 		for _, v := range f.vms {
@@ -118,8 +121,8 @@
 		}
 		return relay != nil
 	})
-	relay.cut.Store(true)
-	relay.table.cut.Store(true)
+	relay.partitioned.Store(true)
+	relay.table.disconnected.Store(true)
 	eventually(t, "another relay, known to all", func() bool {
 		for _, v := range f.vms {
 			if v != relay && (v.Status().Relay == relay.peer.ID || !fresh(v)) {
@@ -130,156 +133,158 @@
 	})
 }
 
-// A key that is withdrawn while a VM is cut off stops working there when the
-// bound has passed, by refusal as stale, and everywhere else at once.
+// A key that is withdrawn while a VM is isolated stops working on that VM when
+// the freshness bound has passed, because its configuration is stale. On the
+// other VMs it stops working at once.
 func TestWithdrawnKey(t *testing.T) {
-	f := newFleet(t, quick, "a", "a", "b")
-	eventually(t, "all fresh", f.all(fresh))
-	id, text := f.grant(f.vms[0])
-	eventually(t, "key works", f.all(func(v *vm) bool { return reason(v, text) == "" }))
-	cut := f.vms[1]
-	cut.cut.Store(true)
-	cut.table.cut.Store(true)
+	f := newFleet(t, fastConfig, "a", "a", "b")
+	eventually(t, "all fresh", f.every(fresh))
+	id, text := f.grantKey(f.vms[0])
+	eventually(t, "key works", f.every(func(v *vm) bool { return reason(v, text) == "" }))
+	isolated := f.vms[1]
+	isolated.partitioned.Store(true)
+	isolated.table.disconnected.Store(true)
 	mustPropose(t, f.vms[0].Feed, withdraw(id))
 	eventually(t, "refused by the others", func() bool {
 		return reason(f.vms[0], text) == outcome.ReasonUnauthenticated &&
 			reason(f.vms[2], text) == outcome.ReasonUnauthenticated
 	})
-	eventually(t, "refused as stale", func() bool { return reason(cut, text) == outcome.ReasonStale })
-	cut.cut.Store(false)
-	cut.table.cut.Store(false)
-	eventually(t, "refused as withdrawn", func() bool { return reason(cut, text) == outcome.ReasonUnauthenticated })
+	eventually(t, "refused as stale", func() bool { return reason(isolated, text) == outcome.ReasonStale })
+	isolated.partitioned.Store(false)
+	isolated.table.disconnected.Store(false)
+	eventually(t, "refused as withdrawn", func() bool { return reason(isolated, text) == outcome.ReasonUnauthenticated })
 }
 
 func TestCutOffFromStoreStaysFresh(t *testing.T) {
-	f := newFleet(t, quick, "a", "b")
-	eventually(t, "all fresh", f.all(fresh))
-	f.vms[1].table.cut.Store(true)
-	n := mustPropose(t, f.vms[0].Feed, create("a"))
+	f := newFleet(t, fastConfig, "a", "b")
+	eventually(t, "all fresh", f.every(fresh))
+	f.vms[1].table.disconnected.Store(true)
+	n := mustPropose(t, f.vms[0].Feed, createAccount("a"))
 	eventually(t, "in force there", func() bool { return hasVersion(n)(f.vms[1]) })
 	eventually(t, "read by others only", func() bool {
 		st := f.vms[1].Status()
-		return !st.StoreReachable && st.SinceStore > 2*quick.Freshness && st.Fresh
+		return !st.StoreReachable && st.SinceStore > 2*fastConfig.Freshness && st.Fresh
 	})
 }
 
-// TestStoreLostBeforeTheFirstCampaign guards against VMs that say for ever that they reach the
-// store: without a relay, one that hears of changes from its peers asks the store for the
-// relay's lease alone.
+// TestStoreLostBeforeTheFirstCampaign guards against a VM that reports the store
+// as reachable forever after losing it: without a relay, a VM that gets changes
+// from its peers accesses the store only for the relay lease.
 func TestStoreLostBeforeTheFirstCampaign(t *testing.T) {
-	f := &fleet{t: t, store: newFakeStore(), cfg: quick}
+	f := &fleet{t: t, store: newFakeStore(), cfg: fastConfig}
 	f.add("a")
-	f.add("b").table.cutAfterRead.Store(true)
+	f.add("b").table.disconnectAfterRead.Store(true)
 	f.start()
 	eventually(t, "read by others only", func() bool {
 		st := f.vms[1].Status()
-		return !st.StoreReachable && st.SinceStore > 2*quick.Freshness && st.Fresh
+		return !st.StoreReachable && st.SinceStore > 2*fastConfig.Freshness && st.Fresh
 	})
 }
 
 func TestCutOffFromPeersStaysFresh(t *testing.T) {
-	f := newFleet(t, quick, "a", "a")
-	eventually(t, "all fresh", f.all(fresh))
-	f.vms[1].cut.Store(true)
-	n := mustPropose(t, f.vms[0].Feed, create("a"))
+	f := newFleet(t, fastConfig, "a", "a")
+	eventually(t, "all fresh", f.every(fresh))
+	f.vms[1].partitioned.Store(true)
+	n := mustPropose(t, f.vms[0].Feed, createAccount("a"))
 	eventually(t, "in force there", func() bool { return hasVersion(n)(f.vms[1]) })
 	reads := f.vms[1].table.reads.Load()
 	eventually(t, "fresh by its own reads, past the bound", func() bool {
-		return f.vms[1].table.reads.Load() > reads+2*int64(quick.Freshness/quick.Poll) && fresh(f.vms[1])
+		return f.vms[1].table.reads.Load() > reads+2*int64(fastConfig.Freshness/fastConfig.Poll) && fresh(f.vms[1])
 	})
 }
 
-// With the store down, VMs that all answer each other go on serving keys; as
-// soon as one does not answer, it may have accepted a change, and they stop.
+// While the store is down, the VMs keep accepting keys as long as all of them
+// respond to each other. When one stops responding, it may have accepted a
+// change, so they become stale and refuse keys.
 func TestOutage(t *testing.T) {
-	f := newFleet(t, quick, "a", "a", "b")
-	eventually(t, "all fresh", f.all(fresh))
-	_, text := f.grant(f.vms[0])
+	f := newFleet(t, fastConfig, "a", "a", "b")
+	eventually(t, "all fresh", f.every(fresh))
+	_, text := f.grantKey(f.vms[0])
 	f.store.set(func(s *fakeStore) { s.down = true })
-	eventually(t, "keys work by agreement", f.all(func(v *vm) bool {
+	eventually(t, "keys work by agreement", f.every(func(v *vm) bool {
 		st := v.Status()
-		return st.SinceStore > 2*quick.Freshness && reason(v, text) == ""
+		return st.SinceStore > 2*fastConfig.Freshness && reason(v, text) == ""
 	}))
-	f.vms[2].cut.Store(true)
-	eventually(t, "stale while one VM is silent", f.all(func(v *vm) bool {
+	f.vms[2].partitioned.Store(true)
+	eventually(t, "stale while one VM is silent", f.every(func(v *vm) bool {
 		return reason(v, text) == outcome.ReasonStale
 	}))
-	f.vms[2].cut.Store(false)
-	eventually(t, "agreement again", f.all(func(v *vm) bool { return reason(v, text) == "" }))
+	f.vms[2].partitioned.Store(false)
+	eventually(t, "agreement again", f.every(func(v *vm) bool { return reason(v, text) == "" }))
 	f.store.set(func(s *fakeStore) { s.down = false })
-	mustPropose(t, f.vms[2].Feed, create("after the outage"))
+	mustPropose(t, f.vms[2].Feed, createAccount("after the outage"))
 }
 
-// A store that is slower than the bound is no use to tell the age; agreement
-// does, and a change that takes that long is still accepted and in force.
+// Reads of a store that is slower than the read timeout fail, so the VMs stay
+// fresh by agreement. A change that takes as long is still accepted and in force.
 func TestSlowStore(t *testing.T) {
-	f := newFleet(t, quick, "a", "a", "b")
-	eventually(t, "all fresh", f.all(fresh))
-	_, text := f.grant(f.vms[0])
+	f := newFleet(t, fastConfig, "a", "a", "b")
+	eventually(t, "all fresh", f.every(fresh))
+	_, text := f.grantKey(f.vms[0])
 	for _, v := range f.vms {
-		v.table.delay.Store(int64(2 * quick.ReadTimeout))
+		v.table.delay.Store(int64(2 * fastConfig.ReadTimeout))
 	}
-	eventually(t, "keys work by agreement", f.all(func(v *vm) bool {
-		return v.Status().SinceStore > 2*quick.Freshness && reason(v, text) == ""
+	eventually(t, "keys work by agreement", f.every(func(v *vm) bool {
+		return v.Status().SinceStore > 2*fastConfig.Freshness && reason(v, text) == ""
 	}))
-	n := mustPropose(t, f.vms[1].Feed, create("slow"))
-	eventually(t, "in force everywhere", f.all(hasVersion(n)))
-	eventually(t, "keys work", f.all(func(v *vm) bool { return reason(v, text) == "" }))
+	n := mustPropose(t, f.vms[1].Feed, createAccount("slow"))
+	eventually(t, "in force everywhere", f.every(hasVersion(n)))
+	eventually(t, "keys work", f.every(func(v *vm) bool { return reason(v, text) == "" }))
 }
 
-// A VM that alone still reaches the store may accept a change; the others
-// hear of it or go stale.
+// A VM that is the only one to reach the store may accept a change; the others
+// receive it or become stale.
 func TestPartialOutage(t *testing.T) {
-	f := newFleet(t, quick, "a", "b", "b")
-	eventually(t, "all fresh", f.all(fresh))
-	id, text := f.grant(f.vms[0])
-	f.vms[1].table.cut.Store(true)
-	f.vms[2].table.cut.Store(true)
+	f := newFleet(t, fastConfig, "a", "b", "b")
+	eventually(t, "all fresh", f.every(fresh))
+	id, text := f.grantKey(f.vms[0])
+	f.vms[1].table.disconnected.Store(true)
+	f.vms[2].table.disconnected.Store(true)
 	mustPropose(t, f.vms[0].Feed, withdraw(id))
-	eventually(t, "withdrawn everywhere", f.all(func(v *vm) bool {
+	eventually(t, "withdrawn everywhere", f.every(func(v *vm) bool {
 		return reason(v, text) == outcome.ReasonUnauthenticated
 	}))
 }
 
-// A VM that boots in an outage takes the newest of its peers; one without
-// peers is not ready.
+// A VM that starts during an outage gets the newest version that its peers have.
+// Without a reachable peer, it is not ready.
 func TestBootInOutage(t *testing.T) {
-	f := newFleet(t, quick, "a", "b")
-	eventually(t, "all fresh", f.all(fresh))
-	f.vms[1].cut.Store(true)
-	f.vms[1].table.cut.Store(true)
-	n := mustPropose(t, f.vms[0].Feed, create("a"))
+	f := newFleet(t, fastConfig, "a", "b")
+	eventually(t, "all fresh", f.every(fresh))
+	f.vms[1].partitioned.Store(true)
+	f.vms[1].table.disconnected.Store(true)
+	n := mustPropose(t, f.vms[0].Feed, createAccount("a"))
 	f.store.set(func(s *fakeStore) { s.down = true })
-	f.vms[1].cut.Store(false)
+	f.vms[1].partitioned.Store(false)
 	booted := f.add("b")
 	f.start()
 	eventually(t, "newest version", func() bool { return booted.Ready() && hasVersion(n)(booted) })
-	eventually(t, "fresh by agreement", f.all(fresh))
+	eventually(t, "fresh by agreement", f.every(fresh))
 
-	alone := newFleet(t, quick, "a")
+	alone := newFleet(t, fastConfig, "a")
 	alone.store.set(func(s *fakeStore) { s.down = true })
-	lonely := alone.add("a")
-	lonely.table.cut.Store(true)
-	alone.vms[0].cut.Store(true)
+	isolated := alone.add("a")
+	isolated.table.disconnected.Store(true)
+	alone.vms[0].partitioned.Store(true)
 	alone.start()
 	eventually(t, "an attempt", func() bool {
-		return lonely.cfg.Metrics.Get("feed.reads") != nil && lonely.meters.readErrors.Count() > 0
+		return isolated.cfg.Metrics.Get("feed.reads") != nil && isolated.meters.readErrors.Count() > 0
 	})
-	if lonely.Ready() || lonely.Snapshot().Fresh || lonely.Snapshot().Config == nil {
-		t.Errorf("ready without any configuration: %+v", lonely.Status())
+	if isolated.Ready() || isolated.Snapshot().Fresh || isolated.Snapshot().Config == nil {
+		t.Errorf("ready without any configuration: %+v", isolated.Status())
 	}
 }
 
-// A booting VM reads the newest snapshot and the rows after it; where the
-// object store fails it reads the whole log.
+// A starting VM reads the newest snapshot and the rows after it. If the snapshot
+// cannot be used, it reads the whole log.
 func TestBootFromSnapshot(t *testing.T) {
 	s := newFakeStore()
 	f := newFeed(t, Config{Table: s, Objects: objectStore{s}, SnapshotEvery: 10})
 	for i := range 25 {
-		mustPropose(t, f, create(fmt.Sprint("a", i)))
+		mustPropose(t, f, createAccount(fmt.Sprint("a", i)))
 	}
 	eventually(t, "snapshot of version 20", func() bool {
-		p, _, err := f.store.pointer(context.Background())
+		p, _, err := f.store.readPointer(context.Background())
 		return err == nil && p.Version == 20
 	})
 	booted := newStoreFeed(t, s)
--- a/pkg/feed/follow.go
+++ b/pkg/feed/follow.go
@@ -15,60 +15,60 @@
 )
 
 const (
-	// fanOut is how many VMs pull from one. An idle follower costs its source
-	// 650 B/s and 0.3 ms/s; two levels reach 132 VMs.
+	// fanOut is how many VMs pull from one VM. An idle follower costs its source
+	// 650 B/s of traffic and 0.3 ms/s of processor time; two levels of followers
+	// reach 132 VMs.
 	fanOut = 11
-	// followPause is the pause after a pull that failed, or found no peer.
-	followPause = 100 * time.Millisecond
+	// followRetryDelay is the delay after a pull that failed or found no peer.
+	followRetryDelay = 100 * time.Millisecond
 )
 
 var errNotReady = errors.New("the peer has no configuration")
 
-// answer is what a peer answered to a pull.
-type answer struct {
+// pullResult is a peer's decoded response to a pull.
+type pullResult struct {
 	update update
-	// unreachable reports that the peer tried the store and did not reach it.
+	// unreachable reports that the peer tried to reach the store and failed.
 	unreachable bool
-	// relay is the relay of the peer's failure domain, as it knows it.
+	// relay is the relay of the peer's failure domain as known to the peer.
 	relay         relayRow
 	failureDomain string
 	ready         bool
 }
 
-// follow pulls from this VM's source until ctx ends. A VM that relays itself
-// does not pull.
+// follow pulls from this VM's source until ctx ends. A relay does not pull.
 func (f *Feed) follow(ctx context.Context) {
 	avoid := map[string]clock.Time{}
 	for ctx.Err() == nil {
-		address, ok := f.source(avoid)
+		address, ok := f.pullSource(avoid)
 		if !ok {
-			sleep(ctx, followPause)
+			sleep(ctx, followRetryDelay)
 			continue
 		}
 		a, err := f.pull(ctx, address, f.cfg.PullWait)
 		now := f.cfg.Clock.Now()
-		if err != nil || !a.ready || now.Sub(max(a.update.read, a.update.agreed)) > f.patience {
+		if err != nil || !a.ready || now.Sub(max(a.update.readAt, a.update.agreedAt)) > f.fallbackAge {
 			avoid[address] = now.Add(f.cfg.RelayLease)
 		}
 		if err != nil || !a.ready {
-			sleep(ctx, followPause)
+			sleep(ctx, followRetryDelay)
 			continue
 		}
 		f.cfg.Loop.Post(func() {
-			f.take(a.update)
-			f.hearOfRelay(a)
+			f.applyUpdate(a.update)
+			f.learnRelay(a)
 		})
-		f.settle(ctx)
+		f.waitForLoop(ctx)
 	}
 }
 
-// settle waits until the loop has taken what was posted before, so that the
-// next pull asks from the new version.
-func (f *Feed) settle(ctx context.Context) { f.cfg.Loop.Call(ctx, func() {}) }
+// waitForLoop waits until the loop has run the functions posted before, so that
+// the next pull starts at the new version.
+func (f *Feed) waitForLoop(ctx context.Context) { f.cfg.Loop.Call(ctx, func() {}) }
 
-// hearOfRelay takes over a peer's knowledge of a relay, on the loop. The row
-// in the table is read only where the relay fails.
-func (f *Feed) hearOfRelay(a answer) {
+// learnRelay adopts the relay that a peer of the same failure domain reports.
+// The lease in the table is read only when the relay fails. It runs on the loop.
+func (f *Feed) learnRelay(a pullResult) {
 	o := f.relay.Load()
 	if f.isRelay() || a.relay.Address == "" || a.failureDomain != f.cfg.Self.FailureDomain || a.relay == o.row {
 		return
@@ -79,9 +79,10 @@
 	f.setRelay(observation{row: a.relay, revision: max(o.revision, 1), since: f.cfg.Clock.Now(), known: true})
 }
 
-// source returns the peer to pull from: the parent in the tree below the
-// relay, or else the relay, another VM of the failure domain, or any VM.
-func (f *Feed) source(avoid map[string]clock.Time) (string, bool) {
+// pullSource returns the address of the peer to pull from: the parent in the
+// tree below the relay, or else the relay, another VM of the failure domain, or
+// any VM. It skips the addresses to avoid.
+func (f *Feed) pullSource(avoid map[string]clock.Time) (string, bool) {
 	if f.isRelay() {
 		return "", false
 	}
@@ -94,16 +95,16 @@
 			return address, true
 		}
 	}
-	for _, near := range []bool{true, false} {
-		var choice []string
+	for _, sameDomain := range []bool{true, false} {
+		var candidates []string
 		for i := range peers {
 			p := &peers[i]
-			if usable(p) && !avoided(p.PeerAddress) && (!near || p.FailureDomain == f.cfg.Self.FailureDomain) {
-				choice = append(choice, p.PeerAddress)
+			if usable(p) && !avoided(p.PeerAddress) && (!sameDomain || p.FailureDomain == f.cfg.Self.FailureDomain) {
+				candidates = append(candidates, p.PeerAddress)
 			}
 		}
-		if len(choice) > 0 {
-			return choice[rand.IntN(len(choice))], true
+		if len(candidates) > 0 {
+			return candidates[rand.IntN(len(candidates))], true
 		}
 	}
 	return "", false
@@ -111,13 +112,13 @@
 
 // parent returns the address of a VM's parent in the tree of its failure
 // domain: the relay is the root, and the other VMs follow in order of ID, each
-// with at most fanOut children. It is empty where the relay is unknown.
+// with at most fanOut children. It is empty if the relay is unknown.
 func parent(self member.Peer, relay relayRow, peers []member.Peer) string {
 	if relay.Address == "" {
 		return ""
 	}
-	// The root has place 0. The others count from 1.
-	place := 1
+	// The root has position 0; the other VMs count from 1.
+	position := 1
 	var others []*member.Peer
 	for i := range peers {
 		p := &peers[i]
@@ -126,22 +127,24 @@
 		}
 		others = append(others, p)
 		if p.ID < self.ID {
-			place++
+			position++
 		}
 	}
-	above := (place - 1) / fanOut
-	if above == 0 {
+	parentPosition := (position - 1) / fanOut
+	if parentPosition == 0 {
 		return relay.Address
 	}
-	return others[above-1].PeerAddress
+	return others[parentPosition-1].PeerAddress
 }
 
+// usable reports whether the peer can be pulled from and pushed to.
 func usable(p *member.Peer) bool {
 	return p.PeerAddress != "" && (p.State == member.Live || p.State == member.Leaving)
 }
 
-// pull asks one peer for what is newer than the version at hand.
-func (f *Feed) pull(ctx context.Context, address string, wait time.Duration) (answer, error) {
+// pull asks one peer for the changes after the current version. The peer may
+// wait up to wait for one.
+func (f *Feed) pull(ctx context.Context, address string, wait time.Duration) (pullResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+f.cfg.PeerTimeout)
 	defer cancel()
 	client := peerpb.NewConfigProtobufClient(f.cfg.Peers.URL(address), f.cfg.Peers.HTTP())
@@ -153,22 +156,22 @@
 	f.meters.pulls.Inc(1)
 	if err != nil {
 		f.meters.pullErrors.Inc(1)
-		return answer{}, fmt.Errorf("pull from %s: %w", address, err)
+		return pullResult{}, fmt.Errorf("pull from %s: %w", address, err)
 	}
-	return decodeAnswer(resp, start)
+	return decodePullResponse(resp, start)
 }
 
-// decodeAnswer reads an answer to a call that was made at start, by the
-// caller's clock. The callee answered held after the call arrived, which was
-// not before start; so what it knew age before its answer, it knew no earlier
-// than start + held - age.
-func decodeAnswer(resp *peerpb.PullResponse, start clock.Time) (answer, error) {
-	a := answer{
+// decodePullResponse decodes the response to a pull that was sent at start, by
+// the caller's clock. The callee received the call at start or later and
+// responded HeldUs after that. So what it knew at a given age before its
+// response, it knew at start + held - age or later.
+func decodePullResponse(resp *peerpb.PullResponse, start clock.Time) (pullResult, error) {
+	a := pullResult{
 		ready:         resp.Ready,
 		unreachable:   resp.StoreUnreachable,
 		failureDomain: resp.FailureDomain,
 		relay:         relayRow{ID: resp.RelayId, Incarnation: resp.RelayIncarnation, Address: resp.RelayAddress},
-		update:        update{version: resp.Version, read: never, agreed: never},
+		update:        update{version: resp.Version, readAt: never, agreedAt: never},
 	}
 	if !resp.Ready {
 		return a, nil
@@ -176,26 +179,27 @@
 	if len(resp.Snapshot) > 0 {
 		c, err := config.Decode(resp.Snapshot)
 		if err != nil {
-			return answer{}, err
+			return pullResult{}, err
 		}
 		a.update.snapshot = c
 	}
 	entries, err := decodeEntries(resp.Changes)
 	if err != nil {
-		return answer{}, err
+		return pullResult{}, err
 	}
 	a.update.entries = entries
 	at := start.Add(microseconds(max(0, resp.HeldUs)))
 	if resp.ReadAgeUs >= 0 {
-		a.update.read = at.Add(-microseconds(resp.ReadAgeUs))
+		a.update.readAt = at.Add(-microseconds(resp.ReadAgeUs))
 	}
 	if resp.AgreedAgeUs >= 0 {
-		a.update.agreed = at.Add(-microseconds(resp.AgreedAgeUs))
+		a.update.agreedAt = at.Add(-microseconds(resp.AgreedAgeUs))
 	}
 	return a, nil
 }
 
-// microseconds converts without overflow, whatever a peer sent.
+// microseconds converts n to a duration and limits it, so that no value that a
+// peer sends overflows.
 func microseconds(n int64) time.Duration {
 	return time.Duration(min(n, math.MaxInt64/4/int64(time.Microsecond))) * time.Microsecond
 }
--- a/pkg/feed/history.go
+++ b/pkg/feed/history.go
@@ -8,9 +8,9 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// History reads up to limit changes of versions below before from the log, the
-// newest first; before 0 begins at the version in force here. Errors:
-// storage.ErrUnavailable.
+// History reads up to limit changes with versions below before from the log,
+// newest first. If before is 0 or less, it starts at the version in force on
+// this VM. Errors: storage.ErrUnavailable.
 func (f *Feed) History(ctx context.Context, before int64, limit int) ([]config.Change, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.cfg.ReadTimeout)
 	defer cancel()
--- a/pkg/feed/inforce_bench_test.go
+++ b/pkg/feed/inforce_bench_test.go
@@ -8,22 +8,23 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// site is a fleet of eleven VMs in three regions of two failure domains each;
-// the store is in the first region.
-type site struct {
+// topology describes a fleet of eleven VMs in three regions with two failure
+// domains each. The store is in the first region.
+type topology struct {
 	name string
-	// regions and domains are the round trips between regions, and between
-	// failure domains of one region.
-	regions, domains time.Duration
+	// regionRTT and domainRTT are the round trip times between regions, and
+	// between failure domains of one region.
+	regionRTT, domainRTT time.Duration
 }
 
-var sites = []site{
+var topologies = []topology{
 	{"agency", 24 * time.Millisecond, 2 * time.Millisecond},
 	{"studio", 110 * time.Millisecond, time.Millisecond},
 }
 
-// start builds the fleet. VM i is in region i%3, failure domain i/3%2 of it.
-func (s site) start(b *testing.B, cfg Config) *fleet {
+// start starts the fleet. VM i is in region i%3 and failure domain i/3%2 of that
+// region.
+func (s topology) start(b *testing.B, cfg Config) *fleet {
 	f := &fleet{t: b, store: newFakeStore(), cfg: cfg}
 	region := map[string]int{}
 	for i := range 11 {
@@ -33,22 +34,22 @@
 		v.delay = func(address string) time.Duration { return s.roundTrip(i%3, region[address]) }
 	}
 	f.start()
-	eventually(b, "all fresh", f.all(fresh))
+	eventually(b, "all fresh", f.every(fresh))
 	return f
 }
 
-func (s site) roundTrip(from, to int) time.Duration {
+func (s topology) roundTrip(from, to int) time.Duration {
 	if from == to {
-		return s.domains
+		return s.domainRTT
 	}
-	return s.regions
+	return s.regionRTT
 }
 
 // BenchmarkInForce measures the time from an operator's call until the last of
-// eleven VMs has the change in force: with pushes, and with relays alone, where
-// the change is written past the fleet.
+// eleven VMs has the change in force: with pushes, and through the relays alone,
+// for a change that a feed outside the fleet writes to the store.
 func BenchmarkInForce(b *testing.B) {
-	for _, s := range sites {
+	for _, s := range topologies {
 		b.Run(s.name+"/push", func(b *testing.B) {
 			f := s.start(b, Config{})
 			measure(b, f, func(i int, build Build) int64 { return mustPropose(b, f.vms[i%11].Feed, build) })
@@ -61,14 +62,16 @@
 	}
 }
 
+// measure reports quantiles of the time from a proposal until all VMs have its
+// change in force.
 func measure(b *testing.B, f *fleet, propose func(int, Build) int64) {
 	h := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 	for i := range b.N {
-		// Changes come at any phase of the polls.
+		// Spread the changes over the phases of the polls.
 		time.Sleep(time.Duration(i%7) * 70 * time.Millisecond)
 		start := time.Now()
-		n := propose(i, create(fmt.Sprint("account", i)))
-		eventually(b, "in force everywhere", f.all(hasVersion(n)))
+		n := propose(i, createAccount(fmt.Sprint("account", i)))
+		eventually(b, "in force everywhere", f.every(hasVersion(n)))
 		if err := h.RecordValue(time.Since(start).Microseconds()); err != nil {
 			b.Fatal(err)
 		}
@@ -78,9 +81,9 @@
 	}
 }
 
-// BenchmarkAge reports the oldest configuration seen on the VMs that run, with
-// the default bound of 3 s, and the part of the samples that was stale. An
-// operation is 8 s of one fault.
+// BenchmarkAge reports the maximum age of the configuration on the VMs that are
+// not frozen, with the default freshness bound of 3 s, and the percentage of
+// samples that were stale. An operation is 8 s of one fault.
 func BenchmarkAge(b *testing.B) {
 	for name, fault := range map[string]func(*fleet){
 		"none":         func(*fleet) {},
@@ -97,14 +100,14 @@
 		},
 	} {
 		b.Run(name, func(b *testing.B) {
-			f := sites[1].start(b, Config{})
+			f := topologies[1].start(b, Config{})
 			var oldest time.Duration
 			stale, samples := 0, 0
 			for range b.N {
 				fault(f)
 				for start := time.Now(); time.Since(start) < 8*time.Second; time.Sleep(5 * time.Millisecond) {
 					for _, v := range f.vms {
-						if v.cut.Load() {
+						if v.partitioned.Load() {
 							continue
 						}
 						oldest = max(oldest, v.Status().Age)
@@ -121,12 +124,12 @@
 	}
 }
 
-// freezeRelay cuts a relay off from everything.
+// freezeRelay disconnects a relay from its peers and the store.
 func freezeRelay(f *fleet) {
 	for _, v := range f.vms {
 		if v.isRelay() {
-			v.cut.Store(true)
-			v.table.cut.Store(true)
+			v.partitioned.Store(true)
+			v.table.disconnected.Store(true)
 			return
 		}
 	}
--- a/pkg/feed/log.go
+++ b/pkg/feed/log.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// logPartition holds one row for each version, created and never changed.
+	// logPartition holds one row for each version. Rows are created and never changed.
 	logPartition = "config"
 	// pointerPartition holds the row that names the newest snapshot.
 	pointerPartition = "config-snapshot"
 	pointerSort      = "latest"
-	// pageSize is how many rows one List reads.
+	// pageSize is the number of rows that one List call asks for.
 	pageSize = 100
 )
 
@@ -27,8 +27,8 @@
 	objects storage.Objects
 }
 
-// pointer is the value of the pointer row.
-type pointer struct {
+// snapshotPointer is the value of the row that names the newest snapshot.
+type snapshotPointer struct {
 	Version int64  `json:"version"`
 	Object  string `json:"object"`
 }
@@ -39,13 +39,13 @@
 
 func objectName(version int64) string { return fmt.Sprintf("config/%020d.json", version) }
 
-// create appends the change. The row of its version must not exist, so that
-// at most one change wins a version.
+// create appends the change to the log. The row of its version must not exist,
+// so that each version holds at most one change.
 func (s *store) create(ctx context.Context, e entry) error {
 	return s.table.Transact(ctx, []storage.Write{{Key: rowKey(e.change.Version), Value: e.data}})
 }
 
-// get reads the change that made a version.
+// get reads the change with the given version.
 func (s *store) get(ctx context.Context, version int64) (entry, error) {
 	item, err := s.table.Get(ctx, rowKey(version))
 	if err != nil {
@@ -54,9 +54,9 @@
 	return decodeRow(item)
 }
 
-// after reads all changes after a version. It goes on to an empty page, since
-// a table may cut pages short.
-func (s *store) after(ctx context.Context, version int64) ([]entry, error) {
+// changesAfter reads all changes after a version. It reads until a page is
+// empty, because a table may return fewer rows than asked for.
+func (s *store) changesAfter(ctx context.Context, version int64) ([]entry, error) {
 	var entries []entry
 	for {
 		items, err := s.table.List(ctx, logPartition, rowKey(version).Sort, pageSize)
@@ -88,11 +88,11 @@
 	return entry{change: ch, data: item.Value}, nil
 }
 
-// boot returns the newest snapshot, or the empty configuration where there is
-// none or it cannot be read: the log holds every change, a snapshot only saves
-// time.
-func (s *store) boot(ctx context.Context) (*config.Config, error) {
-	p, _, err := s.pointer(ctx)
+// loadSnapshot returns the newest snapshot, or the empty configuration if there
+// is none or it cannot be read from the object store: the log holds every
+// change, so a snapshot only saves time.
+func (s *store) loadSnapshot(ctx context.Context) (*config.Config, error) {
+	p, _, err := s.readPointer(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -110,25 +110,26 @@
 	return c, nil
 }
 
-// pointer reads the pointer row and its revision, 0 if there is none.
-func (s *store) pointer(ctx context.Context) (pointer, int64, error) {
+// readPointer reads the snapshot pointer and its revision, which is 0 if there
+// is no row.
+func (s *store) readPointer(ctx context.Context) (snapshotPointer, int64, error) {
 	item, err := s.table.Get(ctx, storage.Key{Partition: pointerPartition, Sort: pointerSort})
 	if errors.Is(err, storage.ErrNotFound) {
-		return pointer{}, 0, nil
+		return snapshotPointer{}, 0, nil
 	}
 	if err != nil {
-		return pointer{}, 0, fmt.Errorf("read snapshot pointer: %w", err)
+		return snapshotPointer{}, 0, fmt.Errorf("read snapshot pointer: %w", err)
 	}
-	var p pointer
+	var p snapshotPointer
 	if err := json.Unmarshal(item.Value, &p); err != nil {
-		return pointer{}, 0, fmt.Errorf("snapshot pointer: %w", err)
+		return snapshotPointer{}, 0, fmt.Errorf("snapshot pointer: %w", err)
 	}
 	return p, item.Revision, nil
 }
 
-// snapshot stores the configuration as an object and points to it, unless a
-// newer snapshot is there.
-func (s *store) snapshot(ctx context.Context, c *config.Config) error {
+// writeSnapshot stores the configuration as an object and points to it, unless
+// the pointer names the same or a newer version.
+func (s *store) writeSnapshot(ctx context.Context, c *config.Config) error {
 	data, err := c.Encode()
 	if err != nil {
 		return fmt.Errorf("encode version %d: %w", c.Version, err)
@@ -136,11 +137,11 @@
 	if err := s.objects.Put(ctx, objectName(c.Version), data); err != nil {
 		return fmt.Errorf("put %s: %w", objectName(c.Version), err)
 	}
-	p, revision, err := s.pointer(ctx)
+	p, revision, err := s.readPointer(ctx)
 	if err != nil || p.Version >= c.Version {
 		return err
 	}
-	value, err := json.Marshal(pointer{Version: c.Version, Object: objectName(c.Version)})
+	value, err := json.Marshal(snapshotPointer{Version: c.Version, Object: objectName(c.Version)})
 	if err != nil {
 		return err
 	}
--- a/pkg/feed/model_test.go
+++ b/pkg/feed/model_test.go
@@ -15,12 +15,12 @@
 	"crocusramp.dev/crocusramp/pkg/member"
 )
 
-// model runs VMs with clocks of their own against one log, in one time line.
+// model simulates VMs with different clocks and one log on a single timeline.
 // Messages take any time and arrive in any order.
 type model struct {
 	now clock.Time
 	log []entry
-	// accepted holds when each version was accepted.
+	// accepted holds the time at which each version was accepted.
 	accepted []clock.Time
 	vms      []*modelVM
 	reads    []*modelRead
@@ -29,12 +29,14 @@
 }
 
 type modelVM struct {
+	// offset is the difference of the VM's clock from the model's.
 	offset time.Duration
 	state  *state
 }
 
 func (v *modelVM) clock(now clock.Time) clock.Time { return now.Add(v.offset) }
 
+// modelRead is a read of the log that is in flight.
 type modelRead struct {
 	vm     int
 	from   int64
@@ -43,6 +45,7 @@
 	update update
 }
 
+// modelPull is a pull that is in flight.
 type modelPull struct {
 	vm, source int
 	have       int64
@@ -52,12 +55,13 @@
 	resp       *peerpb.PullResponse
 }
 
+// modelPush is a push that is in flight.
 type modelPush struct {
 	vm      int
 	entries []entry
 }
 
-// accept appends a change to the log through a VM that is up to date.
+// accept appends a change to the log through the VM, if it has the newest version.
 func (m *model) accept(t *rapid.T, vm int) {
 	v := m.vms[vm]
 	version := int64(len(m.log))
@@ -76,29 +80,32 @@
 	start := v.clock(m.now)
 	m.log = append(m.log, e)
 	m.accepted = append(m.accepted, m.now)
-	m.take(t, vm, update{entries: []entry{e}, version: version + 1, read: start, agreed: never})
+	m.applyUpdate(t, vm, update{entries: []entry{e}, version: version + 1, readAt: start, agreedAt: never})
 	for i := range m.vms {
 		m.pushes = append(m.pushes, &modelPush{vm: i, entries: []entry{e}})
 	}
 }
 
-// take applies an update and checks what must hold of every step.
-func (m *model) take(t *rapid.T, vm int, u update) {
+// applyUpdate applies an update to a VM and checks the invariants: its version
+// does not decrease, and it includes all changes accepted before the time at
+// which the VM claims to have had the newest version.
+func (m *model) applyUpdate(t *rapid.T, vm int, u update) {
 	v := m.vms[vm]
-	next, _ := v.state.with(u)
+	next, _ := v.state.withUpdate(u)
 	if next.version() < v.state.version() {
-		t.Fatalf("vm %d went back from %d to %d", vm, v.state.version(), next.version())
+		t.Fatalf("vm %d went back from version %d to %d", vm, v.state.version(), next.version())
 	}
 	v.state = next
-	known := next.known().Add(-v.offset)
+	known := next.knownNewestAt().Add(-v.offset)
 	for i, at := range m.accepted {
 		if at < known && next.version() < int64(i+1) {
-			t.Fatalf("vm %d at version %d claims to know all until %d, version %d was accepted at %d",
+			t.Fatalf("vm %d at version %d claims to include all changes until %d, but version %d was accepted at %d",
 				vm, next.version(), known, i+1, at)
 		}
 	}
 }
 
+// step advances the time and executes a random event.
 func (m *model) step(t *rapid.T) {
 	m.now = m.now.Add(rapid.SampledFrom([]time.Duration{0, time.Microsecond, time.Millisecond, time.Second}).Draw(t, "pass"))
 	vm := rapid.IntRange(0, len(m.vms)-1).Draw(t, "vm")
@@ -114,7 +121,7 @@
 		}
 	case 3:
 		if r, ok := pick(t, m.reads); ok && r.served {
-			m.take(t, r.vm, r.update)
+			m.applyUpdate(t, r.vm, r.update)
 		}
 	case 4:
 		source := rapid.IntRange(0, len(m.vms)-1).Draw(t, "source")
@@ -126,7 +133,7 @@
 	case 6:
 		if p, ok := pick(t, m.pulls); ok && p.held && p.resp == nil {
 			s := m.vms[p.source]
-			resp, err := encodeAnswer(s.state, p.have, p.arrived, s.clock(m.now))
+			resp, err := encodePullResponse(s.state, p.have, p.arrived, s.clock(m.now))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -134,24 +141,25 @@
 		}
 	case 7:
 		if p, ok := pick(t, m.pulls); ok && p.resp != nil {
-			a, err := decodeAnswer(p.resp, p.start)
+			a, err := decodePullResponse(p.resp, p.start)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if a.ready {
-				m.take(t, p.vm, a.update)
+				m.applyUpdate(t, p.vm, a.update)
 			}
 		}
 	case 8:
 		if p, ok := pick(t, m.pushes); ok {
-			m.take(t, p.vm, update{entries: p.entries, read: never, agreed: never})
+			m.applyUpdate(t, p.vm, update{entries: p.entries, readAt: never, agreedAt: never})
 		}
 	}
 }
 
+// serveRead makes the read return what the log holds now.
 func (m *model) serveRead(r *modelRead) {
 	r.served = true
-	r.update = update{read: r.start, agreed: never, version: int64(len(m.log))}
+	r.update = update{readAt: r.start, agreedAt: never, version: int64(len(m.log))}
 	from := r.from
 	if from == noVersion {
 		r.update.snapshot, from = config.Empty(), 0
@@ -159,6 +167,7 @@
 	r.update.entries = m.log[from:]
 }
 
+// pick returns a random item, or false if there is none.
 func pick[T any](t *rapid.T, items []T) (T, bool) {
 	var zero T
 	if len(items) == 0 {
@@ -167,10 +176,11 @@
 	return items[rapid.IntRange(0, len(items)-1).Draw(t, "item")], true
 }
 
-// No interleaving of reads, pulls, pushes and changes, with any delays and
-// clock offsets, lowers a version, or makes a VM claim an age at which a
-// change that it lacks had been accepted.
-func TestAgeIsTrue(t *testing.T) {
+// TestAgeIsNeverUnderstated guards against a VM that considers a configuration
+// newer than it is. No interleaving of reads, pulls, pushes and changes, with any
+// delays and clock offsets, may decrease a version, or make a VM claim an age at
+// which a change that it lacks had already been accepted.
+func TestAgeIsNeverUnderstated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{}
 		for range 3 {
@@ -190,34 +200,34 @@
 			Ready: ready, Version: version, Snapshot: snapshot, Changes: [][]byte{change},
 			HeldUs: held, ReadAgeUs: read, AgreedAgeUs: agreed,
 		}
-		a, err := decodeAnswer(resp, 0)
+		a, err := decodePullResponse(resp, 0)
 		if err != nil {
 			return
 		}
 		s := newState()
-		next, _ := s.with(a.update)
+		next, _ := s.withUpdate(a.update)
 		if next.version() < s.version() {
-			t.Fatal("the version fell")
+			t.Fatal("the version decreased")
 		}
 	})
 }
 
-// An age counts only where the changes that it speaks of could be applied.
-func TestAgeWithoutChanges(t *testing.T) {
-	s, err := newState().with(update{snapshot: config.Empty(), read: 1, agreed: never})
-	if err != nil || s.read != 1 {
-		t.Fatalf("read %d, %v", s.read, err)
+// A state adopts the age of an update only if it could apply all its changes.
+func TestGapDoesNotRefreshAge(t *testing.T) {
+	s, err := newState().withUpdate(update{snapshot: config.Empty(), readAt: 1, agreedAt: never})
+	if err != nil || s.readAt != 1 {
+		t.Fatalf("read %d, %v", s.readAt, err)
 	}
 	gap := entry{change: config.Change{ID: uuid.New(), Version: 5}}
-	next, err := s.with(update{entries: []entry{gap}, version: 5, read: 2, agreed: 2})
-	if err == nil || next.version() != 0 || next.known() != 1 {
-		t.Errorf("gap: version %d, known %d, %v", next.version(), next.known(), err)
+	next, err := s.withUpdate(update{entries: []entry{gap}, version: 5, readAt: 2, agreedAt: 2})
+	if err == nil || next.version() != 0 || next.knownNewestAt() != 1 {
+		t.Errorf("gap: version %d, known %d, %v", next.version(), next.knownNewestAt(), err)
 	}
 }
 
-// Every VM reaches the relay over its parents, in few steps, and no VM has
-// more children than fanOut.
-func TestTree(t *testing.T) {
+// Every VM reaches the relay through its parents in at most two steps, and no VM
+// has more than fanOut children.
+func TestParentTree(t *testing.T) {
 	for _, n := range []int{1, 2, 12, 13, 125, 132} {
 		peers := make([]member.Peer, n)
 		for i := range peers {
--- a/pkg/feed/propose.go
+++ b/pkg/feed/propose.go
@@ -15,20 +15,22 @@
 )
 
 const (
-	// maxProposeTries bounds how often a change that lost a race is made anew.
-	maxProposeTries = 10
-	// proposeTimeout bounds a proposal whose caller sets no earlier deadline.
+	// maxProposeAttempts bounds how often a change that lost a race for its
+	// version is rebuilt and tried again.
+	maxProposeAttempts = 10
+	// proposeTimeout bounds a proposal, unless the caller's deadline is earlier.
 	proposeTimeout  = 10 * time.Second
 	snapshotTimeout = 10 * time.Second
-	// retryInitial and retryMax bound the pause after a lost race or answer.
-	retryInitial = 5 * time.Millisecond
-	retryMax     = 200 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the delay before a retry, after a
+	// lost race or a lost response.
+	minRetryDelay = 5 * time.Millisecond
+	maxRetryDelay = 200 * time.Millisecond
 )
 
-// ConflictError reports that the configuration changed since the version that
-// a change was made from. Nothing was changed.
+// ConflictError reports a change that was rejected because the configuration
+// had changed since the version that it was based on. Nothing was changed.
 type ConflictError struct {
-	// Current is the present version.
+	// Current is the current version of the configuration.
 	Current int64
 	Reason  string
 }
@@ -38,7 +40,7 @@
 }
 
 // UnknownError reports a change whose write may or may not have taken effect.
-// The history shows whether a change of that ID made the version.
+// The history shows whether the change of that version has this ID.
 type UnknownError struct {
 	ID      uuid.UUID
 	Version int64
@@ -52,20 +54,20 @@
 // Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// Build makes a change from a configuration. Propose fills in its ID, version
-// and time. It may be called several times.
+// Build makes a change to a configuration. Propose fills in the change's ID,
+// version and time. It may be called several times for one proposal.
 type Build func(*config.Config) (config.Change, error)
 
-// Propose makes a change from the newest configuration and returns the version
-// that holds it, which is in force on this VM. With expected above 0, the
-// configuration must be at that version. Errors: what build and
-// config.Apply return, *ConflictError, *UnknownError, storage.ErrUnavailable.
+// Propose makes a change to the newest configuration, appends it to the log and
+// puts it in force on this VM. It returns the version of the change. If expected
+// is above 0, the configuration must be at that version. Errors: those of build
+// and config.Apply, *ConflictError, *UnknownError, storage.ErrUnavailable.
 func (f *Feed) Propose(ctx context.Context, build Build, expected int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	select {
-	case f.proposing <- struct{}{}:
-		defer func() { <-f.proposing }()
+	case f.proposalSem <- struct{}{}:
+		defer func() { <-f.proposalSem }()
 	case <-ctx.Done():
 		return 0, fmt.Errorf("%w: another proposal is being made", storage.ErrUnavailable)
 	}
@@ -76,26 +78,28 @@
 	if expected > 0 && expected != base.Version {
 		return 0, &ConflictError{Current: base.Version, Reason: fmt.Sprintf("expected version %d", expected)}
 	}
-	p := proposal{feed: f, base: base, newest: base, id: uuid.New(), once: expected > 0}
+	p := proposal{feed: f, base: base, newest: base, id: uuid.New(), noRebase: expected > 0}
 	return p.run(ctx, build)
 }
 
-// proposal is one change on its way into the log.
+// proposal is a change that is being appended to the log.
 type proposal struct {
 	feed *Feed
-	// base is the configuration that the operator's change was made from.
+	// base is the configuration that the operator's change is based on.
 	base *config.Config
-	// newest is the configuration that the next try is made from.
+	// newest is the configuration that the next attempt is based on.
 	newest *config.Config
 	id     uuid.UUID
-	// once forbids a second try from a newer version.
-	once bool
+	// noRebase forbids another attempt on a newer version.
+	noRebase bool
 }
 
+// run retries the change on newer versions until it is in the log, and returns
+// its version.
 func (p *proposal) run(ctx context.Context, build Build) (int64, error) {
-	pause := newPause()
-	for range maxProposeTries {
-		e, err := p.make(build)
+	delays := newBackOff()
+	for range maxProposeAttempts {
+		e, err := p.prepare(build)
 		if err != nil {
 			return 0, err
 		}
@@ -110,13 +114,13 @@
 		if err := p.rebase(ctx, e); err != nil {
 			return 0, err
 		}
-		sleep(ctx, pause.NextBackOff())
+		sleep(ctx, delays.NextBackOff())
 	}
 	return 0, &ConflictError{Current: p.newest.Version, Reason: "too many racing changes"}
 }
 
-// make builds, checks and encodes the change.
-func (p *proposal) make(build Build) (entry, error) {
+// prepare builds, validates and encodes the change.
+func (p *proposal) prepare(build Build) (entry, error) {
 	ch, err := build(p.newest)
 	if err != nil {
 		return entry{}, err
@@ -134,33 +138,35 @@
 	return entry{change: ch, data: data}, nil
 }
 
-// write reports whether the change won its version. A lost answer is settled
-// by writing the same row again: it is created at most once, and its change
-// ID tells whose it is.
+// write creates the change's row and reports whether the change, and not that
+// of another proposal, holds its version. If the response to a write is lost, it
+// writes the same row again: the row is created at most once, and its change ID
+// identifies the proposal that wrote it.
 func (p *proposal) write(ctx context.Context, e entry) (bool, error) {
-	pause := newPause()
+	delays := newBackOff()
 	unknown := false
-	// If the row turns out to be there, an earlier try may have written it,
-	// and others may have gone on from it since.
-	first := p.feed.cfg.Clock.Now()
+	// If the row already exists, an earlier attempt may have written it, and
+	// other VMs may have added versions since. So only the start of the first
+	// attempt is known to precede them.
+	firstStart := p.feed.cfg.Clock.Now()
 	for {
 		start := p.feed.cfg.Clock.Now()
 		err := p.feed.store.create(ctx, e)
 		var conflict *storage.ConflictError
 		switch {
 		case err == nil:
-			p.feed.accepted(ctx, e, start)
+			p.feed.applyAccepted(ctx, e, start)
 			return true, nil
 		case errors.As(err, &conflict):
-			mine, readErr := p.mine(ctx, e)
+			owned, readErr := p.ownsVersion(ctx, e)
 			if readErr == nil {
-				if mine {
-					p.feed.accepted(ctx, e, first)
+				if owned {
+					p.feed.applyAccepted(ctx, e, firstStart)
 				}
-				return mine, nil
+				return owned, nil
 			}
-			// Without a row, another transaction was in the way. With one
-			// that cannot be read, it is unknown whose it is.
+			// If there is no row, another transaction caused the conflict. If
+			// the row cannot be read, it is unknown which proposal wrote it.
 			unknown = unknown || !errors.Is(readErr, storage.ErrNotFound)
 			err = readErr
 		case errors.Is(err, storage.ErrUnavailable) && !unknown:
@@ -168,16 +174,16 @@
 		default:
 			unknown = true
 		}
-		p.feed.contact.failed(start)
-		if !sleep(ctx, pause.NextBackOff()) {
-			p.feed.meters.unknown.Inc(1)
+		p.feed.logReachability.recordFailure(start)
+		if !sleep(ctx, delays.NextBackOff()) {
+			p.feed.meters.unknownOutcomes.Inc(1)
 			return false, &UnknownError{ID: p.id, Version: e.change.Version, Err: err}
 		}
 	}
 }
 
-// mine reports whether the row of the change's version holds the change.
-func (p *proposal) mine(ctx context.Context, e entry) (bool, error) {
+// ownsVersion reports whether the log's row for the change's version holds this change.
+func (p *proposal) ownsVersion(ctx context.Context, e entry) (bool, error) {
 	found, err := p.feed.store.get(ctx, e.change.Version)
 	if err != nil {
 		return false, err
@@ -185,8 +191,9 @@
 	return found.change.ID == p.id, nil
 }
 
-// rebase moves on to the newest version after a lost race. The change is
-// refused if its entity changed since the base.
+// rebase moves the proposal to the newest version after a lost race. It returns
+// a *ConflictError if rebasing is not allowed or the change's entity has changed
+// since the base version.
 func (p *proposal) rebase(ctx context.Context, e entry) error {
 	newest, err := p.feed.catchUp(ctx)
 	if err != nil {
@@ -197,7 +204,7 @@
 	if err != nil {
 		return err
 	}
-	if p.once {
+	if p.noRebase {
 		return &ConflictError{Current: newest.Version, Reason: fmt.Sprintf("expected version %d", p.base.Version)}
 	}
 	if !p.base.Same(newest, subject) {
@@ -212,12 +219,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", storage.ErrUnavailable, err)
 	}
-	return f.takeNow(ctx, u)
+	return f.applyUpdateAndWait(ctx, u)
 }
 
-// takeNow applies an update on the loop and waits for it.
-func (f *Feed) takeNow(ctx context.Context, u update) (*config.Config, error) {
-	if !f.cfg.Loop.Call(ctx, func() { f.take(u) }) {
+// applyUpdateAndWait applies an update on the loop, waits for that and returns the configuration.
+func (f *Feed) applyUpdateAndWait(ctx context.Context, u update) (*config.Config, error) {
+	if !f.cfg.Loop.Call(ctx, func() { f.applyUpdate(u) }) {
 		return nil, fmt.Errorf("%w: stopping or out of time", storage.ErrUnavailable)
 	}
 	c := f.state.Load().config
@@ -227,41 +234,42 @@
 	return c, nil
 }
 
-// accepted puts a change that is in the log in force here.
-func (f *Feed) accepted(ctx context.Context, e entry, start clock.Time) {
-	f.contact.answered(start, f.cfg.Clock.Now())
-	u := update{entries: []entry{e}, version: e.change.Version, read: start, agreed: never}
-	// The change stands, so the caller's deadline no longer matters.
+// applyAccepted puts a change that is in the log in force on this VM and pushes
+// it to the peers. The log had no later change at start.
+func (f *Feed) applyAccepted(ctx context.Context, e entry, start clock.Time) {
+	f.logReachability.recordResponse(start, f.cfg.Clock.Now())
+	u := update{entries: []entry{e}, version: e.change.Version, readAt: start, agreedAt: never}
+	// The change is in the log, so the caller's deadline no longer applies.
 	ctx = context.WithoutCancel(ctx)
-	c, err := f.takeNow(ctx, u)
+	c, err := f.applyUpdateAndWait(ctx, u)
 	if err != nil {
-		f.cfg.Log.Error().Err(err).Int64("version", e.change.Version).Msg("accepted change not applied here")
+		f.cfg.Log.Error().Err(err).Int64("version", e.change.Version).Msg("failed to apply an accepted change on this VM")
 		return
 	}
-	f.announce(ctx, e.data)
+	f.pushAccepted(ctx, e.data)
 	if c.Version%f.cfg.SnapshotEvery == 0 {
 		go f.storeSnapshot(ctx, c)
 	}
 }
 
-// storeSnapshot stores a snapshot for booting VMs. Where it fails, they read
-// more of the log.
+// storeSnapshot stores a snapshot for starting VMs. If it fails, they read more
+// of the log.
 func (f *Feed) storeSnapshot(ctx context.Context, c *config.Config) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
-	if err := f.store.snapshot(ctx, c); err != nil {
-		f.cfg.Log.Warn().Err(err).Int64("version", c.Version).Msg("configuration snapshot not stored")
+	if err := f.store.writeSnapshot(ctx, c); err != nil {
+		f.cfg.Log.Warn().Err(err).Int64("version", c.Version).Msg("failed to store the configuration snapshot")
 	}
 }
 
-func newPause() *backoff.ExponentialBackOff {
+func newBackOff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = retryInitial
-	b.MaxInterval = retryMax
+	b.InitialInterval = minRetryDelay
+	b.MaxInterval = maxRetryDelay
 	return b
 }
 
-// sleep waits for d. It reports false where ctx ends before.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/pkg/feed/propose_test.go
+++ b/pkg/feed/propose_test.go
@@ -12,14 +12,16 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-func create(name string) Build {
+// createAccount returns a Build that creates an account.
+func createAccount(name string) Build {
 	return func(*config.Config) (config.Change, error) {
 		a := config.Account{Name: name, Rate: 1, Burst: 1, Weight: 1}
 		return config.Change{Action: config.Action{Account: config.Create(name, a)}}, nil
 	}
 }
 
-// setRate sets the rate of an account, keeping its other fields.
+// setRate returns a Build that sets the rate of an account and keeps its other
+// fields.
 func setRate(name string, rate float64) Build {
 	return func(c *config.Config) (config.Change, error) {
 		a := config.Account{Name: name, Burst: 1, Weight: 1}
@@ -49,15 +51,15 @@
 	if f.Ready() {
 		t.Error("ready without a configuration")
 	}
-	v := mustPropose(t, f, create("a"))
+	v := mustPropose(t, f, createAccount("a"))
 	s := f.Snapshot()
 	if v != 1 || s.Version != 1 || s.Accounts["a"] == nil || !s.Fresh || !f.Ready() {
 		t.Errorf("version %d, snapshot %+v", v, s)
 	}
 }
 
-// Operators on different VMs race; every change that was accepted must be in
-// the log exactly once, in every VM's order.
+// Operators propose changes on different VMs concurrently. Every accepted change
+// must be in the log exactly once, at the version reported for it.
 func TestProposeRace(t *testing.T) {
 	const vms, changes = 4, 10
 	s := newFakeStore()
@@ -70,7 +72,7 @@
 		wg.Go(func() {
 			for j := range changes {
 				name := fmt.Sprintf("a%d-%d", i, j)
-				v, err := feeds[i].Propose(context.Background(), create(name), 0)
+				v, err := feeds[i].Propose(context.Background(), createAccount(name), 0)
 				var conflict *ConflictError
 				if errors.As(err, &conflict) {
 					continue
@@ -102,12 +104,12 @@
 	}
 }
 
-// Two operators change the same entity from the same version: one wins, the
-// other gets a conflict that tells the current version.
+// Two operators change the same entity based on the same version: one succeeds,
+// the other gets a conflict that names the current version.
 func TestProposeConflict(t *testing.T) {
 	s := newFakeStore()
 	f, g := newStoreFeed(t, s), newStoreFeed(t, s)
-	mustPropose(t, f, create("a"))
+	mustPropose(t, f, createAccount("a"))
 	s.set(func(s *fakeStore) {
 		s.beforeWrite = func() {
 			s.set(func(s *fakeStore) { s.beforeWrite = nil })
@@ -124,15 +126,15 @@
 	}
 }
 
-// A race about another entity does not concern the operator.
+// A concurrent change of another entity causes no conflict: the change is rebased.
 func TestProposeRebases(t *testing.T) {
 	s := newFakeStore()
 	f, g := newStoreFeed(t, s), newStoreFeed(t, s)
-	mustPropose(t, f, create("a"))
+	mustPropose(t, f, createAccount("a"))
 	s.set(func(s *fakeStore) {
 		s.beforeWrite = func() {
 			s.set(func(s *fakeStore) { s.beforeWrite = nil })
-			mustPropose(t, g, create("b"))
+			mustPropose(t, g, createAccount("b"))
 		}
 	})
 	if v := mustPropose(t, f, setRate("a", 7)); v != 3 {
@@ -143,8 +145,8 @@
 func TestProposeExpectedVersion(t *testing.T) {
 	s := newFakeStore()
 	f, g := newStoreFeed(t, s), newStoreFeed(t, s)
-	mustPropose(t, f, create("a"))
-	mustPropose(t, g, create("b"))
+	mustPropose(t, f, createAccount("a"))
+	mustPropose(t, g, createAccount("b"))
 	_, err := f.Propose(context.Background(), setRate("a", 2), 1)
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) || conflict.Current != 2 {
@@ -166,23 +168,23 @@
 	}
 }
 
-// The store loses answers of writes that took effect, or never did, or take
-// effect late: the change is accepted once.
-func TestProposeLostAnswer(t *testing.T) {
+// The response to a write is lost, and the write took effect, had no effect or
+// takes effect late. The change is accepted exactly once.
+func TestProposeLostResponse(t *testing.T) {
 	for name, fault := range map[string]func(*fakeStore){
-		"after effect":  func(s *fakeStore) { s.lose = 1 },
-		"before effect": func(s *fakeStore) { s.drop = 2 },
-		"late effect":   func(s *fakeStore) { s.late = 1 },
-		"all together":  func(s *fakeStore) { s.drop, s.late, s.lose = 1, 2, 1 },
+		"after effect":  func(s *fakeStore) { s.loseResponses = 1 },
+		"before effect": func(s *fakeStore) { s.dropWrites = 2 },
+		"late effect":   func(s *fakeStore) { s.delayWrites = 1 },
+		"all together":  func(s *fakeStore) { s.dropWrites, s.delayWrites, s.loseResponses = 1, 2, 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFakeStore()
 			f := newStoreFeed(t, s)
 			s.set(fault)
-			if v := mustPropose(t, f, create("a")); v != 1 {
+			if v := mustPropose(t, f, createAccount("a")); v != 1 {
 				t.Errorf("version %d", v)
 			}
-			if v := mustPropose(t, f, create("b")); v != 2 {
+			if v := mustPropose(t, f, createAccount("b")); v != 2 {
 				t.Errorf("second version %d", v)
 			}
 			if rows := s.rows(t); len(rows) != 2 {
@@ -192,19 +194,19 @@
 	}
 }
 
-// A write whose answer is lost while another VM takes the version.
-func TestProposeLostAnswerAndRace(t *testing.T) {
+// The response to a write is lost while another VM takes the version.
+func TestProposeLostResponseAndRace(t *testing.T) {
 	s := newFakeStore()
 	f, g := newStoreFeed(t, s), newStoreFeed(t, s)
-	mustPropose(t, f, create("a"))
+	mustPropose(t, f, createAccount("a"))
 	s.set(func(s *fakeStore) {
 		s.beforeWrite = func() {
 			s.set(func(s *fakeStore) { s.beforeWrite = nil })
-			mustPropose(t, g, create("b"))
-			s.set(func(s *fakeStore) { s.drop = 1 })
+			mustPropose(t, g, createAccount("b"))
+			s.set(func(s *fakeStore) { s.dropWrites = 1 })
 		}
 	})
-	if v := mustPropose(t, f, create("c")); v != 3 {
+	if v := mustPropose(t, f, createAccount("c")); v != 3 {
 		t.Errorf("version %d", v)
 	}
 	if rows := s.rows(t); len(rows) != 3 {
@@ -212,13 +214,13 @@
 	}
 }
 
-// A store that goes down after a lost answer leaves the outcome unknown, and
-// the error says so; one that is down from the start changed nothing.
+// If the store goes down after a lost response, the outcome is unknown and the
+// error says so. If it is down from the start, nothing is changed.
 func TestProposeStoreDown(t *testing.T) {
 	s := newFakeStore()
 	f := newStoreFeed(t, s)
-	mustPropose(t, f, create("a"))
-	s.set(func(s *fakeStore) { s.lose = 1 })
+	mustPropose(t, f, createAccount("a"))
+	s.set(func(s *fakeStore) { s.loseResponses = 1 })
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	writes := 0
@@ -229,41 +231,41 @@
 			}
 		}
 	})
-	_, err := f.Propose(ctx, create("b"), 0)
+	_, err := f.Propose(ctx, createAccount("b"), 0)
 	var unknown *UnknownError
 	if !errors.As(err, &unknown) || unknown.Version != 2 {
-		t.Fatalf("lost answer, then down: %v", err)
+		t.Fatalf("lost response, then down: %v", err)
 	}
-	_, err = f.Propose(context.Background(), create("c"), 0)
+	_, err = f.Propose(context.Background(), createAccount("c"), 0)
 	if !errors.Is(err, storage.ErrUnavailable) || errors.As(err, &unknown) {
 		t.Errorf("down: %v", err)
 	}
 	s.set(func(s *fakeStore) { s.down, s.beforeWrite = false, nil })
-	if v := mustPropose(t, f, create("d")); v != 3 {
+	if v := mustPropose(t, f, createAccount("d")); v != 3 {
 		t.Errorf("version %d after the outage", v)
 	}
 }
 
-// The answer to a write is lost, another VM makes the next version, and only
-// then is the first found in the log: its VM must not claim to have known the
-// newest version at a time when the second was already accepted.
-func TestProposeLostAnswerAge(t *testing.T) {
+// The response to a write is lost, another VM adds the next version, and only
+// then does the first VM find its change in the log. It must not claim to have
+// had the newest version at a time when the second change was already accepted.
+func TestProposeLostResponseAge(t *testing.T) {
 	s := newFakeStore()
 	f, g := newStoreFeed(t, s), newStoreFeed(t, s)
-	mustPropose(t, f, create("a"))
+	mustPropose(t, f, createAccount("a"))
 	second := never
 	s.set(func(s *fakeStore) {
-		s.lose = 1
+		s.loseResponses = 1
 		s.afterWrite = func() {
 			s.set(func(s *fakeStore) { s.afterWrite = nil })
-			mustPropose(t, g, create("c"))
+			mustPropose(t, g, createAccount("c"))
 			second = f.cfg.Clock.Now()
 		}
 	})
-	if v := mustPropose(t, f, create("b")); v != 2 {
+	if v := mustPropose(t, f, createAccount("b")); v != 2 {
 		t.Fatalf("version %d", v)
 	}
-	if st := f.state.Load(); second == never || (st.version() < 3 && st.known() >= second) {
-		t.Errorf("at version %d it claims to know all until %d, version 3 was accepted by %d", st.version(), st.known(), second)
+	if st := f.state.Load(); second == never || (st.version() < 3 && st.knownNewestAt() >= second) {
+		t.Errorf("at version %d it claims to include all changes until %d, but version 3 was accepted by %d", st.version(), st.knownNewestAt(), second)
 	}
 }
--- a/pkg/feed/relay.go
+++ b/pkg/feed/relay.go
@@ -11,30 +11,32 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// relayPartition holds one row for each failure domain: the lease of the VM
-// that reads the store for the others. The lease only saves reads: any VM may
-// read the store at any time, so two holders at once do no harm.
+// relayPartition holds one row for each failure domain: the lease of the relay,
+// the VM that reads the store for the others. The lease only saves reads: any
+// VM may read the store at any time, so two holders at once do no harm.
 const relayPartition = "relay"
 
-// relayRow is the value of a relay's lease.
+// relayRow is the value of a relay lease's row.
 type relayRow struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"`
 }
 
-// observation is what a VM has seen of its failure domain's lease.
+// observation is the relay lease of a failure domain as last seen by a VM.
 type observation struct {
 	row relayRow
-	// revision grows with each renewal; 0 if there was no row.
+	// revision increases with each renewal; 0 if there was no row.
 	revision int64
-	// since is when this VM first saw the revision. Its own clock alone
-	// decides when the lease has expired.
+	// since is when this VM first saw the revision. Only its own clock decides
+	// when the lease has expired.
 	since clock.Time
+	// known is false until the lease has been observed.
 	known bool
 }
 
-// observe returns the observation after a read of the row.
+// observe returns the observation updated by a row that was read at now. An
+// unchanged revision keeps its since.
 func (o observation) observe(row relayRow, revision int64, now clock.Time) observation {
 	if o.known && o.revision == revision {
 		return o
@@ -42,47 +44,49 @@
 	return observation{row: row, revision: revision, since: now, known: true}
 }
 
-// mayWrite reports whether the VM may take or renew the lease.
-func (o observation) mayWrite(incarnation string, lease time.Duration, now clock.Time) bool {
+// mayAcquire reports whether the incarnation may acquire or renew the lease: it
+// is vacant, its own or expired.
+func (o observation) mayAcquire(incarnation string, lease time.Duration, now clock.Time) bool {
 	return o.revision == 0 || o.row.Incarnation == incarnation || now.Sub(o.since) > lease
 }
 
-// duties is what a VM does at one step.
+// duties is the work that is due in one step.
 type duties struct {
-	// read reads the store, campaign takes or renews the relay's lease,
+	// read reads the store, campaign acquires or renews the relay lease, and
 	// consult asks all peers.
 	read, campaign, consult bool
 }
 
-// situation is what the duties depend on.
-type situation struct {
+// dutyInputs holds the values from which a VM's duties follow.
+type dutyInputs struct {
 	now clock.Time
-	// relay reports that this VM holds the lease.
-	relay bool
-	// relayKnown reports that some VM is known to hold it.
+	// isRelay reports that this VM holds the relay lease.
+	isRelay bool
+	// relayKnown reports that a holder of the relay lease is known.
 	relayKnown bool
-	// readAge and age are the time since a read of the store, and since any
-	// proof, that the version is the newest.
+	// readAge is the time since a read of the store showed that the version is
+	// the newest; age is the time since a read or an agreement showed it.
 	readAge, age time.Duration
-	// patience is how old a read may be before the VM helps itself.
-	patience     time.Duration
-	freshness    time.Duration
+	// fallbackAge is the readAge above which the VM reads the store itself.
+	fallbackAge  time.Duration
+	maxAge       time.Duration
 	nextRead     clock.Time
 	nextCampaign clock.Time
 }
 
-// decide returns what is to be done now.
-func decide(s situation) duties {
-	alone := s.readAge > s.patience
+// currentDuties returns the work that is due now.
+func currentDuties(s dutyInputs) duties {
+	fallback := s.readAge > s.fallbackAge
 	return duties{
-		read:     (s.relay || alone) && !s.now.Before(s.nextRead),
-		campaign: (s.relay || alone || !s.relayKnown) && !s.now.Before(s.nextCampaign),
-		consult:  s.age > fraction(s.freshness, consultAfter),
+		read:     (s.isRelay || fallback) && !s.now.Before(s.nextRead),
+		campaign: (s.isRelay || fallback || !s.relayKnown) && !s.now.Before(s.nextCampaign),
+		consult:  s.age > fraction(s.maxAge, consultAfter),
 	}
 }
 
-// campaign takes or renews the lease, or learns who holds it. It runs off the
-// loop, on a copy of the observation.
+// campaign acquires or renews the relay lease, or learns which VM holds it, and
+// returns the new observation. It runs outside the loop, on a copy of the
+// observation.
 func (f *Feed) campaign(ctx context.Context, o observation) (observation, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.cfg.ReadTimeout)
 	defer cancel()
@@ -90,9 +94,9 @@
 	start := f.cfg.Clock.Now()
 	item, err := f.cfg.Table.Get(ctx, key)
 	if err == nil || errors.Is(err, storage.ErrNotFound) {
-		f.leaseContact.answered(start, f.cfg.Clock.Now())
+		f.leaseReachability.recordResponse(start, f.cfg.Clock.Now())
 	} else {
-		f.leaseContact.failed(start)
+		f.leaseReachability.recordFailure(start)
 	}
 	var row relayRow
 	switch {
@@ -106,7 +110,7 @@
 		}
 	}
 	o = o.observe(row, item.Revision, f.cfg.Clock.Now())
-	if !o.mayWrite(f.cfg.Self.Incarnation, f.cfg.RelayLease, f.cfg.Clock.Now()) {
+	if !o.mayAcquire(f.cfg.Self.Incarnation, f.cfg.RelayLease, f.cfg.Clock.Now()) {
 		return o, nil
 	}
 	own := relayRow{ID: f.cfg.Self.ID, Incarnation: f.cfg.Self.Incarnation, Address: f.cfg.Self.PeerAddress}
--- a/pkg/feed/server.go
+++ b/pkg/feed/server.go
@@ -15,17 +15,19 @@
 )
 
 const (
-	// maxPullWait bounds how long a peer may have a call held.
+	// maxPullWait bounds the wait that a peer's pull may ask for.
 	maxPullWait = 5 * time.Second
-	// maxPushed bounds how many peers one VM pushes a change to. In a larger
-	// fleet it pushes to some of each failure domain, which push on.
-	maxPushed        = 64
-	pushesPerDomain  = 2
-	pushAcknowledged = 250 * time.Millisecond
+	// maxPushPeers bounds how many peers one VM pushes a change to. In a larger
+	// fleet it pushes to pushesPerDomain VMs of each failure domain, which
+	// forward the change within their failure domain.
+	maxPushPeers    = 64
+	pushesPerDomain = 2
+	// pushAckTimeout bounds how long a push waits for the first peer to have
+	// the changes.
+	pushAckTimeout = 250 * time.Millisecond
 )
 
-// Handler returns the path prefix and the handler of the protocol between
-// VMs.
+// Handler returns the path prefix and the handler of the feed's peer protocol.
 func (f *Feed) Handler() (string, http.Handler) {
 	s := peerpb.NewConfigServer(&server{feed: f})
 	return s.PathPrefix(), s
@@ -39,14 +41,14 @@
 	f := s.feed
 	start := f.cfg.Clock.Now()
 	wait := min(time.Duration(max(0, r.WaitMs))*time.Millisecond, maxPullWait)
-	st := f.await(ctx, r.Have, wait)
+	st := f.awaitNewer(ctx, r.Have, wait)
 	now := f.cfg.Clock.Now()
-	resp, err := encodeAnswer(st, r.Have, start, now)
+	resp, err := encodePullResponse(st, r.Have, start, now)
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
 	relay := f.relay.Load()
-	resp.StoreUnreachable = f.contact.unreachable(now, f.cfg.Freshness)
+	resp.StoreUnreachable = f.logReachability.unreachable(now, f.cfg.Freshness)
 	resp.RelayId = relay.row.ID
 	resp.RelayIncarnation = relay.row.Incarnation
 	resp.RelayAddress = relay.row.Address
@@ -54,17 +56,17 @@
 	return resp, nil
 }
 
-// encodeAnswer answers at now to a call that arrived at start, by the callee's
-// clock, from a caller that has a version.
-func encodeAnswer(st *state, have int64, start, now clock.Time) (*peerpb.PullResponse, error) {
+// encodePullResponse returns the response at now to a pull that arrived at
+// start, by the callee's clock, from a caller that has version have.
+func encodePullResponse(st *state, have int64, start, now clock.Time) (*peerpb.PullResponse, error) {
 	resp := &peerpb.PullResponse{Ready: st.config != nil, HeldUs: now.Sub(start).Microseconds()}
 	if st.config == nil {
 		return resp, nil
 	}
 	resp.Version = st.version()
-	resp.ReadAgeUs = ageMicroseconds(now, st.read)
-	resp.AgreedAgeUs = ageMicroseconds(now, st.agreed)
-	entries, ok := st.since(have)
+	resp.ReadAgeUs = ageMicroseconds(now, st.readAt)
+	resp.AgreedAgeUs = ageMicroseconds(now, st.agreedAt)
+	entries, ok := st.entriesAfter(have)
 	if !ok {
 		data, err := st.config.Encode()
 		resp.Snapshot = data
@@ -76,8 +78,9 @@
 	return resp, nil
 }
 
-// await returns the state once it is newer than version have, or after wait.
-func (f *Feed) await(ctx context.Context, have int64, wait time.Duration) *state {
+// awaitNewer returns the state once its version is newer than have, or the
+// current state after wait.
+func (f *Feed) awaitNewer(ctx context.Context, have int64, wait time.Duration) *state {
 	st := f.state.Load()
 	if wait <= 0 {
 		return st
@@ -86,7 +89,7 @@
 	defer timer.Stop()
 	for st.version() <= have {
 		select {
-		case <-st.newer:
+		case <-st.superseded:
 			st = f.state.Load()
 		case <-timer.C:
 			return f.state.Load()
@@ -97,7 +100,8 @@
 	return st
 }
 
-// ageMicroseconds rounds up, since an age must not look younger than it is.
+// ageMicroseconds returns the age of t, or -1 if t is never. It rounds up, since
+// an age must not be understated.
 func ageMicroseconds(now, t clock.Time) int64 {
 	if t == never {
 		return -1
@@ -119,16 +123,16 @@
 	if entries[0].change.Version > before+1 {
 		f.fillGap(ctx, r.SenderAddress)
 	}
-	// A push may be late, so it says nothing about how old the version is.
-	f.cfg.Loop.Call(ctx, func() { f.take(update{entries: entries, read: never, agreed: never}) })
+	// A push may arrive late, so it does not show that the version is the newest.
+	f.cfg.Loop.Call(ctx, func() { f.applyUpdate(update{entries: entries, readAt: never, agreedAt: never}) })
 	after := f.state.Load().version()
 	if r.Forward && after > before {
-		go f.push(context.WithoutCancel(ctx), f.near(), r.Changes, false)
+		go f.push(context.WithoutCancel(ctx), f.domainAddresses(), r.Changes, false)
 	}
 	return &peerpb.PushResponse{Version: after}, nil
 }
 
-// fillGap pulls the changes before a pushed one from its sender.
+// fillGap pulls the changes that precede a pushed change from its sender.
 func (f *Feed) fillGap(ctx context.Context, address string) {
 	if address == "" {
 		return
@@ -137,28 +141,28 @@
 	if err != nil || !a.ready {
 		return
 	}
-	f.cfg.Loop.Call(ctx, func() { f.take(a.update) })
+	f.cfg.Loop.Call(ctx, func() { f.applyUpdate(a.update) })
 }
 
-// announce pushes an accepted change to the peers. It returns when one of
-// them has it, so that it outlives this VM, or after a short time: the change
-// stands in the log in any case.
-func (f *Feed) announce(ctx context.Context, data []byte) {
+// pushAccepted pushes an accepted change to the peers. It returns when one of
+// them has the change, so that the change survives this VM's death, or after a
+// short timeout: the change is in the log in any case.
+func (f *Feed) pushAccepted(ctx context.Context, data []byte) {
 	peers := f.cfg.Members.View().Peers
-	if len(peers) <= maxPushed {
+	if len(peers) <= maxPushPeers {
 		f.push(ctx, addresses(peers), [][]byte{data}, false)
 		return
 	}
-	f.push(ctx, contacts(peers), [][]byte{data}, true)
+	f.push(ctx, addressesPerDomain(peers), [][]byte{data}, true)
 }
 
-// push sends changes to all addresses at once and returns when the first has
-// them, all have failed, or pushAcknowledged is over.
+// push sends changes to all addresses concurrently. It returns when the first
+// peer has them, all calls have ended, or pushAckTimeout has passed.
 func (f *Feed) push(ctx context.Context, to []string, changes [][]byte, forward bool) {
 	if len(to) == 0 {
 		return
 	}
-	first := make(chan struct{})
+	acknowledged := make(chan struct{})
 	var once sync.Once
 	var wg sync.WaitGroup
 	version := f.state.Load().version()
@@ -166,16 +170,16 @@
 		wg.Go(func() {
 			resp, err := f.pushOne(ctx, address, changes, forward)
 			if err == nil && resp.Version >= version {
-				once.Do(func() { close(first) })
+				once.Do(func() { close(acknowledged) })
 			}
 		})
 	}
 	done := make(chan struct{})
 	go func() { wg.Wait(); close(done) }()
-	timer := time.NewTimer(pushAcknowledged)
+	timer := time.NewTimer(pushAckTimeout)
 	defer timer.Stop()
 	select {
-	case <-first:
+	case <-acknowledged:
 	case <-done:
 	case <-timer.C:
 	}
@@ -192,11 +196,12 @@
 		Forward:       forward,
 	})
 	if err != nil && !errors.Is(err, context.Canceled) {
-		f.cfg.Log.Debug().Err(err).Str("peer", address).Msg("push failed")
+		f.cfg.Log.Debug().Err(err).Str("peer", address).Msg("failed to push a configuration change to a peer")
 	}
 	return resp, err
 }
 
+// addresses returns the addresses of the usable peers.
 func addresses(peers []member.Peer) []string {
 	var out []string
 	for i := range peers {
@@ -207,8 +212,9 @@
 	return out
 }
 
-// contacts returns some usable peers of each failure domain.
-func contacts(peers []member.Peer) []string {
+// addressesPerDomain returns the addresses of up to pushesPerDomain usable peers
+// of each failure domain.
+func addressesPerDomain(peers []member.Peer) []string {
 	count := map[string]int{}
 	var out []string
 	for i := range peers {
@@ -221,8 +227,9 @@
 	return out
 }
 
-// near returns the usable peers of this VM's failure domain.
-func (f *Feed) near() []string {
+// domainAddresses returns the addresses of the usable peers of this VM's failure
+// domain.
+func (f *Feed) domainAddresses() []string {
 	var out []string
 	for _, p := range f.cfg.Members.View().Peers {
 		if usable(&p) && p.FailureDomain == f.cfg.Self.FailureDomain {
--- a/pkg/feed/state.go
+++ b/pkg/feed/state.go
@@ -10,52 +10,54 @@
 	"crocusramp.dev/crocusramp/pkg/config"
 )
 
-// never is earlier than any instant of a clock, with room for subtraction.
+// never is earlier than any time of a clock. It leaves room for subtraction
+// without overflow.
 const never = clock.Time(math.MinInt64 / 2)
 
-// errGap reports changes that do not follow on the version at hand.
+// errGap reports changes that do not directly follow the current version.
 var errGap = errors.New("changes are missing")
 
-// entry is a change with its encoding.
+// entry is a change and its encoded form.
 type entry struct {
 	change config.Change
 	data   []byte
 }
 
-// update is what a VM learned from the store or a peer.
+// update is what a VM received from the store or a peer.
 type update struct {
 	// snapshot is a whole configuration; nil if there is none.
 	snapshot *config.Config
-	// entries are consecutive changes, the oldest first.
+	// entries are consecutive changes, oldest first.
 	entries []entry
-	// version is the newest that the source knew.
+	// version is the newest version that the source had.
 	version int64
-	// read and agreed are as in state, or never.
-	read, agreed clock.Time
+	// readAt and agreedAt are as in state; never if unknown.
+	readAt, agreedAt clock.Time
 }
 
-// state is the configuration of a VM and what is known of its age. It is
-// immutable; the control loop makes the next one.
+// state is the configuration of a VM and when it was known to be the newest. It
+// is immutable; the control loop replaces it.
 type state struct {
-	// config is nil until the store or a peer has answered once.
+	// config is nil until the store or a peer has responded once.
 	config *config.Config
-	// read is an instant at which no accepted change was missing from config,
-	// by a read of the store here or on the VM that it came from.
-	read clock.Time
-	// agreed is the same by agreement of all VMs that none reaches the store.
-	agreed clock.Time
-	// tail holds the newest changes up to the version of config.
+	// readAt is a time at which config included every accepted change, as shown
+	// by a read of the store on this VM or on the VM that config came from.
+	readAt clock.Time
+	// agreedAt is a time at which config included every accepted change, as
+	// shown by the agreement of all VMs that none of them can reach the store.
+	agreedAt clock.Time
+	// tail holds the most recent changes, up to the version of config.
 	tail      []entry
 	tailBytes int
-	// newer is closed once a state with a newer version is published.
-	newer chan struct{}
+	// superseded is closed once a state with a newer version is published.
+	superseded chan struct{}
 }
 
 func newState() *state {
-	return &state{read: never, agreed: never, newer: make(chan struct{})}
+	return &state{readAt: never, agreedAt: never, superseded: make(chan struct{})}
 }
 
-// version returns the version at hand, noVersion if there is none.
+// version returns the version of the configuration, or noVersion if there is none.
 func (s *state) version() int64 {
 	if s.config == nil {
 		return noVersion
@@ -63,16 +65,17 @@
 	return s.config.Version
 }
 
-// known returns the newest instant at which no accepted change was missing.
-func (s *state) known() clock.Time { return max(s.read, s.agreed) }
+// knownNewestAt returns the latest time at which the configuration is known to
+// have included every accepted change.
+func (s *state) knownNewestAt() clock.Time { return max(s.readAt, s.agreedAt) }
 
-// age returns how long ago, at the least, the version was known to be the
-// newest. It is very large if it never was.
-func (s *state) age(now clock.Time) time.Duration { return now.Sub(s.known()) }
+// age returns the time since the version was last known to be the newest. It is
+// very large if it never was.
+func (s *state) age(now clock.Time) time.Duration { return now.Sub(s.knownNewestAt()) }
 
-// with returns the state after the update. The version never falls. On an
-// error the state returned holds what could be applied.
-func (s *state) with(u update) (*state, error) {
+// withUpdate returns the state after the update. The version never decreases.
+// On an error, the returned state holds the changes that could be applied.
+func (s *state) withUpdate(u update) (*state, error) {
 	next := *s
 	if u.snapshot != nil && u.snapshot.Version > s.version() {
 		next.config = u.snapshot
@@ -80,17 +83,17 @@
 	}
 	err := next.apply(u.entries)
 	if next.version() != s.version() {
-		next.newer = make(chan struct{})
+		next.superseded = make(chan struct{})
 	}
 	if next.config == nil || next.config.Version < u.version {
 		return &next, err
 	}
-	next.read = max(next.read, u.read)
-	next.agreed = max(next.agreed, u.agreed)
+	next.readAt = max(next.readAt, u.readAt)
+	next.agreedAt = max(next.agreedAt, u.agreedAt)
 	return &next, err
 }
 
-// apply appends the entries that are newer than the version at hand.
+// apply applies the entries that are newer than the current version.
 func (s *state) apply(entries []entry) error {
 	for _, e := range entries {
 		if e.change.Version <= s.version() {
@@ -104,13 +107,13 @@
 			return fmt.Errorf("apply version %d: %w", e.change.Version, err)
 		}
 		s.config = next
-		s.push(e)
+		s.appendTail(e)
 	}
 	return nil
 }
 
-// push appends to the tail and drops the oldest entries beyond its bounds.
-func (s *state) push(e entry) {
+// appendTail appends to the tail and drops the oldest entries beyond its bounds.
+func (s *state) appendTail(e entry) {
 	s.tail = append(s.tail, e)
 	s.tailBytes += len(e.data)
 	for len(s.tail) > maxTailEntries || s.tailBytes > maxTailBytes {
@@ -119,9 +122,9 @@
 	}
 }
 
-// since returns the entries after version have. It reports false where the
-// tail does not reach back so far.
-func (s *state) since(have int64) ([]entry, bool) {
+// entriesAfter returns the entries after version have. It returns false if the
+// tail does not reach back to that version.
+func (s *state) entriesAfter(have int64) ([]entry, bool) {
 	missing := s.version() - have
 	if missing <= 0 {
 		return nil, true
