--- a/pkg/config/change.go
+++ b/pkg/config/change.go
@@ -8,7 +8,7 @@
 	"github.com/google/uuid"
 )
 
-// Op says what an edit does to its entity.
+// Op is the operation of an edit.
 type Op string
 
 // The operations of an edit.
@@ -18,15 +18,15 @@
 	OpDelete Op = "delete"
 )
 
-// Edit creates, updates or deletes one entity of type T. Value is nil when the
-// entity is deleted.
+// Edit creates, updates or deletes one entity of type T. Value is nil if Op is
+// OpDelete.
 type Edit[T any] struct {
 	Op    Op     `json:"op"`
 	Name  string `json:"name"`
 	Value *T     `json:"value,omitempty"`
 }
 
-// Create returns an edit that adds the entity.
+// Create returns an edit that creates the entity.
 func Create[T any](name string, value T) *Edit[T] {
 	return &Edit[T]{Op: OpCreate, Name: name, Value: &value}
 }
@@ -36,12 +36,12 @@
 	return &Edit[T]{Op: OpUpdate, Name: name, Value: &value}
 }
 
-// Delete returns an edit that removes the entity.
+// Delete returns an edit that deletes the entity.
 func Delete[T any](name string) *Edit[T] {
 	return &Edit[T]{Op: OpDelete, Name: name}
 }
 
-// Action is what a change does. Exactly one field is set.
+// Action is the edit that a change makes. Exactly one field is set.
 type Action struct {
 	Account *Edit[Account] `json:"account,omitempty"`
 	Key     *Edit[Key]     `json:"key,omitempty"`
@@ -52,15 +52,15 @@
 
 // Change is one step from a version of the configuration to the next.
 type Change struct {
-	// ID tells changes apart whose write had an unknown outcome.
+	// ID identifies the change in the log if the outcome of its write is unknown.
 	ID uuid.UUID `json:"id"`
-	// Version is the version that the change makes.
+	// Version is the version of the configuration after the change.
 	Version int64     `json:"version"`
 	Time    time.Time `json:"time"`
 	Action  Action    `json:"action"`
 }
 
-// Kind names a type of entity.
+// Kind is a type of entity.
 type Kind string
 
 // The kinds of entity.
@@ -72,24 +72,25 @@
 	KindDrain   Kind = "drain"
 )
 
-// Entity names one entity of a configuration.
+// Entity identifies one entity of a configuration.
 type Entity struct {
 	Kind Kind
 	Name string
 }
 
-// String returns the entity as error messages show it.
-func (e Entity) String() string { return fmt.Sprintf("%s %q", e.Kind, shorten(e.Name)) }
+// String returns the entity in the form used in error messages.
+func (e Entity) String() string { return fmt.Sprintf("%s %q", e.Kind, truncate(e.Name)) }
 
-// Subject returns the entity that the action edits and how it does so. Errors:
-// ErrInvalid where not exactly one edit is there, or it is not well-formed.
+// Subject returns the entity that the action edits and the operation. Errors:
+// ErrInvalid if the action does not have exactly one edit, or the edit is
+// malformed.
 func (a Action) Subject() (Entity, Op, error) {
-	var found []subject
-	found = addSubject(found, KindAccount, a.Account)
-	found = addSubject(found, KindKey, a.Key)
-	found = addSubject(found, KindRoute, a.Route)
-	found = addSubject(found, KindShift, a.Shift)
-	found = addSubject(found, KindDrain, a.Drain)
+	var found []untypedEdit
+	found = appendEdit(found, KindAccount, a.Account)
+	found = appendEdit(found, KindKey, a.Key)
+	found = appendEdit(found, KindRoute, a.Route)
+	found = appendEdit(found, KindShift, a.Shift)
+	found = appendEdit(found, KindDrain, a.Drain)
 	if len(found) != 1 {
 		return Entity{}, "", fmt.Errorf("change has %d actions, must have 1: %w", len(found), ErrInvalid)
 	}
@@ -103,22 +104,22 @@
 	return s.entity, s.op, nil
 }
 
-// subject is an edit without its type.
-type subject struct {
+// untypedEdit describes an Edit of any entity type.
+type untypedEdit struct {
 	entity   Entity
 	op       Op
 	hasValue bool
 }
 
-func addSubject[T any](found []subject, kind Kind, e *Edit[T]) []subject {
+func appendEdit[T any](found []untypedEdit, kind Kind, e *Edit[T]) []untypedEdit {
 	if e == nil {
 		return found
 	}
-	return append(found, subject{entity: Entity{Kind: kind, Name: e.Name}, op: e.Op, hasValue: e.Value != nil})
+	return append(found, untypedEdit{entity: Entity{Kind: kind, Name: e.Name}, op: e.Op, hasValue: e.Value != nil})
 }
 
-// Same reports whether the entity is unchanged between c and d. It compares
-// identity, which Apply keeps for every entity that a change does not touch.
+// Same reports whether the entity is the same in c and d. It compares pointers:
+// Apply keeps the pointer of every entity that a change does not edit.
 func (c *Config) Same(d *Config, e Entity) bool {
 	switch e.Kind {
 	case KindAccount:
@@ -136,8 +137,8 @@
 	}
 }
 
-// Apply returns the configuration after the change. It copies only the maps
-// that the change touches and leaves c as it is. Errors: *VersionError,
+// Apply returns the configuration after the change. It copies only the maps that
+// the change modifies, and does not modify c. Errors: *VersionError,
 // *FieldError, *EntityError, ErrInvalid.
 func (c *Config) Apply(ch Change) (*Config, error) {
 	if ch.Version != c.Version+1 {
@@ -148,14 +149,14 @@
 	}
 	next := *c
 	next.Version = ch.Version
-	if err := next.edit(ch.Action); err != nil {
+	if err := next.applyAction(ch.Action); err != nil {
 		return nil, err
 	}
 	return &next, nil
 }
 
-// edit replaces the maps that the action touches.
-func (c *Config) edit(a Action) error {
+// applyAction replaces the maps that the action modifies.
+func (c *Config) applyAction(a Action) error {
 	var err error
 	switch {
 	case a.Account != nil:
@@ -172,7 +173,7 @@
 	return err
 }
 
-// editAccount also removes the keys of a deleted account.
+// editAccount applies the edit. Deleting an account also deletes its keys.
 func (c *Config) editAccount(e *Edit[Account]) error {
 	accounts, err := apply(c.Accounts, KindAccount, e, (*Account).validate)
 	if err != nil {
@@ -187,7 +188,8 @@
 	return nil
 }
 
-// editKey refuses updates: a key is granted and withdrawn, never changed.
+// editKey applies the edit. It refuses updates: a key is granted and withdrawn,
+// never changed.
 func (c *Config) editKey(e *Edit[Key]) error {
 	if e.Op == OpUpdate {
 		return fmt.Errorf("%v cannot be updated: %w", Entity{KindKey, e.Name}, ErrInvalid)
@@ -200,7 +202,7 @@
 	return nil
 }
 
-// apply returns a copy of entities with the edit made.
+// apply returns a copy of entities with the edit applied.
 func apply[T any, P interface {
 	*T
 	name() string
@@ -226,7 +228,8 @@
 	return next, nil
 }
 
-// checkExists checks that the operation fits the entity's existence.
+// checkExists refuses to create an entity that exists, and to update or delete one
+// that does not.
 func checkExists(e Entity, op Op, exists bool) error {
 	if op == OpCreate && exists {
 		return &EntityError{Entity: e, Err: ErrExists}
--- a/pkg/config/change_test.go
+++ b/pkg/config/change_test.go
@@ -21,8 +21,8 @@
 	drain   = Drain{Name: "d1", Kind: DrainRegion, Subject: "moldova"}
 )
 
-// full has one entity of each kind.
-func full(t testing.TB) *Config {
+// fullConfig returns a configuration with one entity of each kind.
+func fullConfig(t testing.TB) *Config {
 	c := Empty()
 	for _, a := range []Action{
 		{Account: Create(account.Name, account)},
@@ -45,25 +45,26 @@
 	return next
 }
 
-func with[T any](v T, edit func(*T)) T {
+// modified returns a copy of v with the edit applied.
+func modified[T any](v T, edit func(*T)) T {
 	edit(&v)
 	return v
 }
 
 func TestApplyRefuses(t *testing.T) {
 	putAccount := func(edit func(*Account)) Action {
-		a := with(account, edit)
+		a := modified(account, edit)
 		return Action{Account: Update(a.Name, a)}
 	}
 	newAccount := func(name string) Action {
 		return Action{Account: Create(name, Account{Name: name, Rate: 1, Burst: 1, Weight: 1})}
 	}
 	putRoute := func(edit func(*Route)) Action {
-		r := with(route, edit)
+		r := modified(route, edit)
 		return Action{Route: Update(r.Name, r)}
 	}
 	putShift := func(edit func(*Shift)) Action {
-		s := with(shift, edit)
+		s := modified(shift, edit)
 		return Action{Shift: Update(s.Name, s)}
 	}
 	for _, tc := range []struct {
@@ -99,9 +100,9 @@
 		{"NaN burst", putAccount(func(a *Account) { a.Burst = math.NaN() }), ErrInvalid, "burst"},
 		{"burst below 1", putAccount(func(a *Account) { a.Burst = 0.5 }), ErrInvalid, "burst"},
 		{"zero weight", putAccount(func(a *Account) { a.Weight = 0 }), ErrInvalid, "weight"},
-		{"key of no account", Action{Key: Create("k2", with(key, func(k *Key) { k.ID, k.Account = "k2", "x" }))}, ErrNotFound, `account "x"`},
+		{"key of no account", Action{Key: Create("k2", modified(key, func(k *Key) { k.ID, k.Account = "k2", "x" }))}, ErrNotFound, `account "x"`},
 		{"key updated", Action{Key: Update("k1", key)}, ErrInvalid, "cannot be updated"},
-		{"key with short hash", Action{Key: Create("k2", with(key, func(k *Key) { k.ID, k.Hash = "k2", nil }))}, ErrInvalid, "hash length"},
+		{"key with short hash", Action{Key: Create("k2", modified(key, func(k *Key) { k.ID, k.Hash = "k2", nil }))}, ErrInvalid, "hash length"},
 		{"relative path", putRoute(func(r *Route) { r.PathPrefix = "x" }), ErrInvalid, "must begin with /"},
 		{"dotted path", putRoute(func(r *Route) { r.PathPrefix = "/a/../b" }), ErrInvalid, "segment"},
 		{"double slash", putRoute(func(r *Route) { r.PathPrefix = "/a//b" }), ErrInvalid, "segment"},
@@ -112,21 +113,21 @@
 		{"unknown mode", putRoute(func(r *Route) { r.Mode = "maybe" }), ErrInvalid, `mode "maybe"`},
 		{"no priority", putRoute(func(r *Route) { r.Priority = "" }), ErrInvalid, "priority"},
 		{"zero timeout", putRoute(func(r *Route) { r.Timeout = 0 }), ErrInvalid, "timeout"},
-		{"same path and method", Action{Route: Create("r2", with(route, func(r *Route) { r.Name, r.Methods = "r2", []string{"GET"} }))}, ErrInvalid, `route "lookup"`},
+		{"same path and method", Action{Route: Create("r2", modified(route, func(r *Route) { r.Name, r.Methods = "r2", []string{"GET"} }))}, ErrInvalid, `route "lookup"`},
 		{"shift to itself", putShift(func(s *Shift) { s.To = s.From }), ErrInvalid, "must differ"},
 		{"cap above 100", putShift(func(s *Shift) { s.CapPercent = 100.1 }), ErrInvalid, "cap_percent"},
 		{"NaN cap", putShift(func(s *Shift) { s.CapPercent = math.NaN() }), ErrInvalid, "cap_percent"},
-		{"second shift of pool and region", Action{Shift: Create("s2", with(shift, func(s *Shift) { s.Name, s.To = "s2", "transilvania" }))}, ErrInvalid, `shift "s1"`},
+		{"second shift of pool and region", Action{Shift: Create("s2", modified(shift, func(s *Shift) { s.Name, s.To = "s2", "transilvania" }))}, ErrInvalid, `shift "s1"`},
 		{"unknown drain kind", Action{Drain: Create("d2", Drain{Name: "d2", Kind: "planet", Subject: "x"})}, ErrInvalid, "kind"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c := full(t)
+			c := fullConfig(t)
 			next, err := c.Apply(Change{Version: c.Version + 1, Action: tc.action})
 			if !errors.Is(err, tc.want) || !strings.Contains(err.Error(), tc.text) {
 				t.Errorf("error %v, want %v with %q", err, tc.want, tc.text)
 			}
 			if next != nil {
-				t.Error("a refused change made a configuration")
+				t.Error("a refused change returned a configuration")
 			}
 		})
 	}
@@ -134,13 +135,13 @@
 
 func TestApplyAcceptsNames(t *testing.T) {
 	for _, name := range []string{"Agenția Națională", "製紙", "مصنع", "🧻 tubes", "a.b/c:d"} {
-		a := with(account, func(a *Account) { a.Name = name })
+		a := modified(account, func(a *Account) { a.Name = name })
 		mustApply(t, Empty(), Action{Account: Create(name, a)})
 	}
 }
 
-func TestApplyWantsNextVersion(t *testing.T) {
-	c := full(t)
+func TestApplyRequiresNextVersion(t *testing.T) {
+	c := fullConfig(t)
 	for _, v := range []int64{0, c.Version, c.Version + 2} {
 		if _, err := c.Apply(Change{Version: v, Action: Action{Drain: Delete[Drain]("d1")}}); !errors.Is(err, ErrVersion) {
 			t.Errorf("version %d: %v", v, err)
@@ -149,15 +150,16 @@
 }
 
 func TestDeleteAccountDeletesKeys(t *testing.T) {
-	c := full(t)
+	c := fullConfig(t)
 	next := mustApply(t, c, Action{Account: Delete[Account]("moara")})
 	if len(next.Keys) != 0 || len(c.Keys) != 1 {
 		t.Errorf("keys after %d, before %d", len(next.Keys), len(c.Keys))
 	}
 }
 
-// Apply must share the untouched maps and never change the configuration that
-// it was called on; encoding must be deterministic and lossless.
+// Apply must never modify the configuration that it is called on, although the
+// result shares the unmodified maps. Encoding must be deterministic and lossless,
+// and a decoded change must have the same effect as the original.
 func TestApplyProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Empty()
@@ -188,7 +190,7 @@
 				t.Fatalf("the decoded change is refused: %v", err)
 			}
 			if diff := cmp.Diff(next, again); diff != "" {
-				t.Fatalf("the decoded change differs: %s", diff)
+				t.Fatalf("the decoded change has a different result: %s", diff)
 			}
 			c = next
 			checkRoundTrip(t, c)
@@ -218,19 +220,19 @@
 			Name: name, Rate: rapid.Float64Range(-1, 10).Draw(t, "rate"), Burst: 1, Weight: 1,
 		})}
 	case 1:
-		return Action{Key: drawEdit(t, name, with(key, func(k *Key) {
+		return Action{Key: drawEdit(t, name, modified(key, func(k *Key) {
 			k.ID, k.Account = name, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "account")
 		}))}
 	case 2:
-		return Action{Route: drawEdit(t, name, with(route, func(r *Route) {
+		return Action{Route: drawEdit(t, name, modified(route, func(r *Route) {
 			r.Name, r.PathPrefix = name, rapid.SampledFrom([]string{"/", "/x", "/x/"}).Draw(t, "path")
 		}))}
 	case 3:
-		return Action{Shift: drawEdit(t, name, with(shift, func(s *Shift) {
+		return Action{Shift: drawEdit(t, name, modified(shift, func(s *Shift) {
 			s.Name, s.From = name, rapid.SampledFrom([]string{"m", "n"}).Draw(t, "from")
 		}))}
 	default:
-		return Action{Drain: drawEdit(t, name, with(drain, func(d *Drain) { d.Name = name }))}
+		return Action{Drain: drawEdit(t, name, modified(drain, func(d *Drain) { d.Name = name }))}
 	}
 }
 
@@ -246,7 +248,7 @@
 }
 
 func TestDecodeRefuses(t *testing.T) {
-	valid, err := full(t).Encode()
+	valid, err := fullConfig(t).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,7 +270,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	c := full(f)
+	c := fullConfig(f)
 	data, err := c.Encode()
 	if err != nil {
 		f.Fatal(err)
@@ -290,7 +292,7 @@
 			}
 		}
 		if ch, err := DecodeChange(data); err == nil {
-			base := full(t)
+			base := fullConfig(t)
 			base.Version = ch.Version - 1
 			if _, err := base.Apply(ch); err == nil {
 				if _, err := EncodeChange(ch); err != nil {
--- a/pkg/config/codec.go
+++ b/pkg/config/codec.go
@@ -10,8 +10,8 @@
 	"github.com/google/uuid"
 )
 
-// formatVersion is the version of the encoding. A VM that meets another one
-// keeps the configuration it has and becomes stale, in place of guessing.
+// formatVersion is the version of the encoding. A VM that reads another version
+// keeps its current configuration and becomes stale instead of guessing.
 const formatVersion = 1
 
 // MaxEncodedBytes bounds the size of an encoded configuration.
@@ -30,14 +30,14 @@
 	Config *Config `json:"config"`
 }
 
-// EncodeChange returns the deterministic JSON of a change.
+// EncodeChange encodes a change as deterministic JSON.
 func EncodeChange(ch Change) ([]byte, error) {
 	ch.Time = ch.Time.UTC()
 	return json.Marshal(changeEnvelope{Format: formatVersion, Change: &ch})
 }
 
-// DecodeChange reads what EncodeChange wrote. Unknown fields and other format
-// versions are refused. Errors: ErrFormat.
+// DecodeChange decodes the output of EncodeChange. It refuses unknown fields and
+// other format versions. Errors: ErrFormat.
 func DecodeChange(data []byte) (Change, error) {
 	var e changeEnvelope
 	if err := decode(data, &e); err != nil {
@@ -55,12 +55,12 @@
 	return *e.Change, nil
 }
 
-// Encode returns the deterministic JSON of the configuration.
+// Encode encodes the configuration as deterministic JSON.
 func (c *Config) Encode() ([]byte, error) {
 	return json.Marshal(configEnvelope{Format: formatVersion, Config: c})
 }
 
-// Decode reads what Encode wrote and validates every entity. Errors:
+// Decode decodes the output of Encode and validates every entity. Errors:
 // ErrFormat, ErrInvalid.
 func Decode(data []byte) (*Config, error) {
 	if len(data) > MaxEncodedBytes {
@@ -83,7 +83,7 @@
 	return c, nil
 }
 
-// decode is strict: unknown fields and trailing data are errors.
+// decode decodes JSON strictly: unknown fields and trailing data are errors.
 func decode(data []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
--- a/pkg/config/config.go
+++ b/pkg/config/config.go
@@ -1,6 +1,6 @@
-// Package config holds the dynamic configuration that operators change while
-// traffic runs: client accounts, keys, routes, shifts and drains. A Config is
-// immutable; Apply makes the next one from a Change.
+// Package config defines the dynamic configuration that operators change at run
+// time: client accounts, keys, routes, shifts and drains. A Config is immutable;
+// Apply returns the next version, with a Change applied.
 package config
 
 import (
@@ -11,15 +11,16 @@
 var (
 	// ErrNotFound reports that the named entity does not exist.
 	ErrNotFound = errors.New("does not exist")
-	// ErrExists reports that an entity of that name exists already.
+	// ErrExists reports that an entity with that name already exists.
 	ErrExists = errors.New("exists already")
 	// ErrInvalid reports a value that the configuration cannot hold.
 	ErrInvalid = errors.New("invalid")
-	// ErrVersion reports a change that was not made from the current version.
+	// ErrVersion reports a change that is not based on the current version.
 	ErrVersion = errors.New("version conflict")
 )
 
-// Priority orders the queues: lower values are served first.
+// Priority is the class of a route's requests in the queues; the classes are
+// listed in the order in which they are served.
 type Priority string
 
 // The priority classes.
@@ -29,7 +30,7 @@
 	PriorityLow    Priority = "low"
 )
 
-// Mode says how often a route's request may run on a target.
+// Mode determines how often a request of a route may run on a target.
 type Mode string
 
 // The modes of a route.
@@ -40,24 +41,24 @@
 	ModeAtMostOnce Mode = "at_most_once"
 )
 
-// Account is a client account (tenant).
+// Account is a client account.
 type Account struct {
 	Name string `json:"name"`
-	// Rate is its requests a second over the whole fleet.
+	// Rate is its limit in requests per second over the whole fleet.
 	Rate float64 `json:"rate"`
-	// Burst is how many requests may come at once, over the whole fleet.
+	// Burst is how many requests may arrive at once, over the whole fleet.
 	Burst float64 `json:"burst"`
-	// Weight is its part of the capacity under contention; 1 is usual.
+	// Weight is its relative part of the capacity under contention; usually 1.
 	Weight int `json:"weight"`
-	// Regions are where its requests may run; none means everywhere.
+	// Regions are the regions in which its requests may run; empty means all.
 	Regions []string `json:"regions,omitempty"`
-	// Rank goes before the rank of a route; nil leaves that in force.
+	// Rank overrides the rank of the route; nil keeps it.
 	Rank *int `json:"rank,omitempty"`
 }
 
-// Key is a client account's credential. Only its salted hash is kept.
+// Key is a client account's credential. Only its salted hash is stored.
 type Key struct {
-	// ID is public and part of the key that the caller shows.
+	// ID is public and a part of the key that the caller sends.
 	ID      string    `json:"id"`
 	Account string    `json:"account"`
 	Salt    []byte    `json:"salt"`
@@ -70,57 +71,58 @@
 	Name string `json:"name"`
 	// PathPrefix selects requests; the longest matching prefix wins.
 	PathPrefix string `json:"path_prefix"`
-	// Methods limits the route to these HTTP methods; none means all.
+	// Methods limits the route to these HTTP methods; empty means all.
 	Methods  []string `json:"methods,omitempty"`
 	Pool     string   `json:"pool"`
 	Mode     Mode     `json:"mode"`
 	Priority Priority `json:"priority"`
 	// Open routes need no key and count towards no client account.
 	Open bool `json:"open,omitempty"`
-	// Timeout bounds a request from its arrival to its answer.
+	// Timeout bounds the time from a request's arrival to its response.
 	Timeout time.Duration `json:"timeout"`
 	// Host limits the route to requests for this host, in lower case; empty
 	// means all.
 	Host string `json:"host,omitempty"`
-	// Split divides the requests among several pools; it goes before Pool.
+	// Split divides the requests among several pools; it takes precedence over Pool.
 	Split []Part `json:"split,omitempty"`
-	// MaxAttempts is how many targets one request may be sent to; 0 leaves it
-	// to the retry budget.
+	// MaxAttempts is how many targets one request may be sent to; 0 means that
+	// only the retry budget limits it.
 	MaxAttempts int `json:"max_attempts,omitempty"`
-	// Objective is the time within which an answer is worth most.
+	// Objective is the latency objective: a response is worth most within this time.
 	Objective time.Duration `json:"objective,omitempty"`
-	// Rank orders routes under contention; 0 goes first.
+	// Rank orders routes under contention; 0 is served first.
 	Rank int `json:"rank,omitempty"`
-	// Regions are where requests may run; none means everywhere.
+	// Regions are the regions in which requests may run; empty means all.
 	Regions []string `json:"regions,omitempty"`
-	// Bulky answers are large; they stay in the caller's region where they can.
+	// Bulky routes have large responses; their requests stay in the caller's
+	// region if possible.
 	Bulky bool `json:"bulky,omitempty"`
-	// Sticky says that a target runs a request faster that has lately handled
-	// the same object.
+	// Sticky reports that a target handles a request faster if it recently
+	// handled one for the same object.
 	Sticky bool `json:"sticky,omitempty"`
 }
 
-// Part is a pool's part of a route's requests.
+// Part gives a pool a weighted part of a route's requests.
 type Part struct {
 	Pool   string  `json:"pool"`
 	Weight float64 `json:"weight"`
 }
 
-// Service describes the targets of a pool that are found at run time.
+// Service describes the targets of a pool whose targets are discovered at run time.
 type Service struct {
 	Name string `json:"name"`
-	// HealthPath is asked to learn whether a target is well.
+	// HealthPath is the path of a target's health check.
 	HealthPath string `json:"health_path"`
 	// MaxConnections is how many connections a target accepts from all VMs.
 	MaxConnections int `json:"max_connections"`
-	// ColdStart is how long a target that has just started is slow.
+	// ColdStart is how long a target is slow after its start.
 	ColdStart time.Duration `json:"cold_start"`
-	// ColdRate is how many requests a second a cold target bears.
+	// ColdRate is how many requests per second a target can handle until then.
 	ColdRate float64 `json:"cold_rate"`
 }
 
-// CallerLimits bound what callers may send; zero fields leave the settings in
-// force.
+// CallerLimits limit the requests of callers. They override the settings; a zero
+// field keeps the setting.
 type CallerLimits struct {
 	MaxHeaderBytes int           `json:"max_header_bytes"`
 	MaxBodyBytes   int64         `json:"max_body_bytes"`
@@ -134,11 +136,11 @@
 	Pool string `json:"pool"`
 	From string `json:"from"`
 	To   string `json:"to"`
-	// CapPercent is the largest part that moves, 0 to 100.
+	// CapPercent is the largest part of the traffic that moves, 0 to 100.
 	CapPercent float64 `json:"cap_percent"`
 }
 
-// DrainKind says what a drain empties.
+// DrainKind is the kind of a drain's subject.
 type DrainKind string
 
 // The kinds of drain.
@@ -149,15 +151,15 @@
 	DrainVM            DrainKind = "vm"
 )
 
-// Drain keeps new work from its subject.
+// Drain keeps new requests from a region, failure domain, target or VM.
 type Drain struct {
 	Name    string    `json:"name"`
 	Kind    DrainKind `json:"kind"`
 	Subject string    `json:"subject"`
 }
 
-// Config is one version of the configuration. All maps are keyed by name, or
-// by ID for keys. Readers never change a Config.
+// Config is one version of the configuration. All maps are keyed by name, Keys
+// by ID. A Config must not be modified after it has been published.
 type Config struct {
 	Version  int64               `json:"version"`
 	Accounts map[string]*Account `json:"accounts"`
@@ -165,12 +167,12 @@
 	Routes   map[string]*Route   `json:"routes"`
 	Shifts   map[string]*Shift   `json:"shifts"`
 	Drains   map[string]*Drain   `json:"drains"`
-	// Services is set where targets are found at run time.
+	// Services is set if targets are discovered at run time.
 	Services     map[string]*Service `json:"services,omitempty"`
 	CallerLimits CallerLimits        `json:"caller_limits,omitzero"`
 }
 
-// Empty returns version 0, which has no entities.
+// Empty returns the configuration of version 0, which has no entities.
 func Empty() *Config {
 	return &Config{
 		Accounts: map[string]*Account{},
@@ -181,15 +183,16 @@
 	}
 }
 
-// Snapshot is a configuration with what is known of its age.
+// Snapshot is a configuration that may be stale.
 type Snapshot struct {
 	*Config
-	// Fresh reports whether no change accepted longer ago than the bound can
-	// be missing. Keyed routes are refused on a snapshot that is not fresh.
+	// Fresh reports whether the configuration includes every change that was
+	// accepted longer ago than the freshness bound. Requests to keyed routes are
+	// refused while it is false.
 	Fresh bool
 }
 
-// Source publishes snapshots. Snapshot never returns nil.
+// Source publishes snapshots. The Config of a snapshot is never nil.
 type Source interface {
 	Snapshot() Snapshot
 }
--- a/pkg/config/drained.go
+++ b/pkg/config/drained.go
@@ -1,8 +1,9 @@
 package config
 
-// Drained reports whether operators keep new work from a VM (DrainVM) or a
-// target (DrainTarget): it is drained itself, or its failure domain or region
-// is. A drain names a failure domain alone or as "region/failure_domain".
+// Drained reports whether a VM (DrainVM) or target (DrainTarget) is drained, by
+// a drain of itself, its failure domain or its region. The subject of a failure
+// domain's drain is "failure_domain", in any region, or
+// "region/failure_domain".
 func (c *Config) Drained(kind DrainKind, id, region, failureDomain string) bool {
 	for _, d := range c.Drains {
 		switch d.Kind {
--- a/pkg/config/errors.go
+++ b/pkg/config/errors.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// maxShown is how many bytes of a refused value an error message shows.
-const maxShown = 64
+// maxShownBytes is how many bytes of a refused value an error message contains.
+const maxShownBytes = 64
 
-// FieldError reports a field whose value the configuration cannot hold.
+// FieldError reports a field with an invalid value.
 // It unwraps to ErrInvalid.
 type FieldError struct {
 	Entity Entity
 	Field  string
-	// Value is the refused value, shortened.
+	// Value is the refused value, truncated.
 	Value  string
 	Reason string
 }
@@ -22,7 +22,7 @@
 // Unwrap returns ErrInvalid.
 func (e *FieldError) Unwrap() error { return ErrInvalid }
 
-// EntityError reports an entity that exists already or does not exist. It
+// EntityError reports an entity that already exists or does not exist. It
 // unwraps to ErrExists or ErrNotFound.
 type EntityError struct {
 	Entity Entity
@@ -34,12 +34,12 @@
 // Unwrap returns ErrExists or ErrNotFound.
 func (e *EntityError) Unwrap() error { return e.Err }
 
-// VersionError reports a change that does not follow on the configuration. It
+// VersionError reports a change that is not based on the configuration. It
 // unwraps to ErrVersion.
 type VersionError struct {
 	// Have is the version of the configuration.
 	Have int64
-	// Change is the version that the change makes.
+	// Change is the version of the change.
 	Change int64
 }
 
@@ -51,13 +51,13 @@
 func (e *VersionError) Unwrap() error { return ErrVersion }
 
 func fieldError(entity Entity, field string, value any, reason string) error {
-	return &FieldError{Entity: entity, Field: field, Value: shorten(fmt.Sprint(value)), Reason: reason}
+	return &FieldError{Entity: entity, Field: field, Value: truncate(fmt.Sprint(value)), Reason: reason}
 }
 
-// shorten cuts a value that a caller chose to a length fit for a message.
-func shorten(s string) string {
-	if len(s) <= maxShown {
+// truncate limits the length of a value that a caller chose, for use in an error message.
+func truncate(s string) string {
+	if len(s) <= maxShownBytes {
 		return s
 	}
-	return s[:maxShown] + "..."
+	return s[:maxShownBytes] + "..."
 }
--- a/pkg/config/validate.go
+++ b/pkg/config/validate.go
@@ -13,22 +13,22 @@
 	"golang.org/x/text/unicode/norm"
 )
 
-// The bounds of what the configuration holds.
+// Bounds on the values of the configuration.
 const (
-	// MaxNameBytes is the longest name, in bytes of UTF-8.
+	// MaxNameBytes is the maximum length of a name, in bytes of UTF-8.
 	MaxNameBytes = 128
-	// MaxPathBytes is the longest path prefix of a route.
+	// MaxPathBytes is the maximum length of a route's path prefix.
 	MaxPathBytes = 512
-	// MaxRate is the highest rate in requests a second, and the highest burst.
+	// MaxRate is the maximum rate in requests per second, and the maximum burst.
 	MaxRate = 1e9
-	// MaxWeight is the highest fair-share weight.
+	// MaxWeight is the maximum fair-share weight.
 	MaxWeight = 1000
-	// MinTimeout and MaxTimeout bound the timeout of a route. The latter
-	// leaves room for queries that run overnight.
+	// MinTimeout and MaxTimeout bound the timeout of a route. MaxTimeout allows
+	// queries that run overnight.
 	MinTimeout = time.Millisecond
 	MaxTimeout = 24 * time.Hour
 
-	// keyPrefix begins the text of every key, see package keys.
+	// keyPrefix is the prefix of every key's text; see package keys.
 	keyPrefix      = "crk_"
 	maxMethods     = 16
 	maxMethodBytes = 32
@@ -45,11 +45,11 @@
 func (s *Shift) name() string   { return s.Name }
 func (d *Drain) name() string   { return d.Name }
 
-// CheckName returns why a name is refused, or "". A name is 1 to MaxNameBytes
-// bytes of UTF-8 in normal form C, of printable characters and inner single
-// spaces. Control and format characters are refused, since they hide or
-// reorder text in a terminal; without one normal form, two names could look
-// the same and differ.
+// CheckName returns why a name is invalid, or "". A valid name has 1 to
+// MaxNameBytes bytes of UTF-8 in Unicode normal form C and consists of printable
+// characters, separated by single spaces at most. Control and format characters
+// are refused because they can hide or reorder text in a terminal. The normal
+// form is required because different names could otherwise look the same.
 func CheckName(s string) string {
 	switch {
 	case s == "":
@@ -146,11 +146,11 @@
 	return r.checkOverlap(c)
 }
 
-// checkOverlap refuses a route that shares path prefix and method with
-// another: which of the two applies would depend on chance.
+// checkOverlap refuses a route that has the path prefix and a method of another
+// route: which of the two matched a request would be undefined.
 func (r *Route) checkOverlap(c *Config) error {
 	for _, o := range c.Routes {
-		if o.Name == r.Name || o.PathPrefix != r.PathPrefix || !shareMethod(o.Methods, r.Methods) {
+		if o.Name == r.Name || o.PathPrefix != r.PathPrefix || !methodsOverlap(o.Methods, r.Methods) {
 			continue
 		}
 		return fieldError(Entity{KindRoute, r.Name}, "path_prefix", r.PathPrefix,
@@ -159,7 +159,7 @@
 	return nil
 }
 
-func shareMethod(a, b []string) bool {
+func methodsOverlap(a, b []string) bool {
 	if len(a) == 0 || len(b) == 0 {
 		return true
 	}
@@ -190,7 +190,7 @@
 		return fieldError(e, "methods", len(methods), fmt.Sprintf("are more than %d", maxMethods))
 	}
 	for i, m := range methods {
-		if m == "" || len(m) > maxMethodBytes || strings.ContainsFunc(m, notMethodRune) {
+		if m == "" || len(m) > maxMethodBytes || strings.ContainsFunc(m, invalidMethodRune) {
 			return fieldError(e, "methods", m, "must be upper-case letters")
 		}
 		if slices.Contains(methods[:i], m) {
@@ -200,7 +200,7 @@
 	return nil
 }
 
-func notMethodRune(r rune) bool { return (r < 'A' || r > 'Z') && r != '-' }
+func invalidMethodRune(r rune) bool { return (r < 'A' || r > 'Z') && r != '-' }
 
 func (s *Shift) validate(c *Config) error {
 	e := Entity{KindShift, s.Name}
@@ -217,7 +217,7 @@
 	if err := checkNumber(e, "cap_percent", s.CapPercent, 0, maxPercent); err != nil {
 		return err
 	}
-	// Two shifts out of one region would add up beyond either cap.
+	// Two shifts of a pool out of one region could together exceed either cap.
 	for _, o := range c.Shifts {
 		if o.Name != s.Name && o.Pool == s.Pool && o.From == s.From {
 			return fieldError(e, "from", s.From, fmt.Sprintf("is shifted for pool %q by shift %q already", s.Pool, o.Name))
@@ -238,34 +238,35 @@
 	return checkName(e, "subject", d.Subject)
 }
 
-// validate checks a whole configuration, as decoded from a snapshot.
+// validate checks a whole configuration, for example one decoded from a snapshot.
 func (c *Config) validate() error {
 	if c.Version < 0 {
 		return fmt.Errorf("version %d is negative: %w", c.Version, ErrInvalid)
 	}
-	if err := each(c.Accounts, KindAccount, (*Account).validate); err != nil {
+	if err := validateEntities(c.Accounts, KindAccount, (*Account).validate); err != nil {
 		return err
 	}
-	if err := each(c.Keys, KindKey, func(k *Key) error { return k.validate(c) }); err != nil {
+	if err := validateEntities(c.Keys, KindKey, func(k *Key) error { return k.validate(c) }); err != nil {
 		return err
 	}
-	if err := each(c.Routes, KindRoute, func(r *Route) error { return r.validate(c) }); err != nil {
+	if err := validateEntities(c.Routes, KindRoute, func(r *Route) error { return r.validate(c) }); err != nil {
 		return err
 	}
-	if err := each(c.Shifts, KindShift, func(s *Shift) error { return s.validate(c) }); err != nil {
+	if err := validateEntities(c.Shifts, KindShift, func(s *Shift) error { return s.validate(c) }); err != nil {
 		return err
 	}
-	return each(c.Drains, KindDrain, (*Drain).validate)
+	return validateEntities(c.Drains, KindDrain, (*Drain).validate)
 }
 
-// each validates the entities of a map and that they stand under their name.
-func each[P interface {
+// validateEntities validates the entities of a map and checks that each is stored
+// under its own name.
+func validateEntities[P interface {
 	comparable
 	name() string
 }](entities map[string]P, kind Kind, validate func(P) error) error {
-	var null P
+	var zero P
 	for name, v := range entities {
-		if v == null || v.name() != name {
+		if v == zero || v.name() != name {
 			return fmt.Errorf("%v stands under another name: %w", Entity{kind, name}, ErrInvalid)
 		}
 		if err := validate(v); err != nil {
