--- a/pkg/storage/contract_test.go
+++ b/pkg/storage/contract_test.go
@@ -20,13 +20,13 @@
 	standinstore "crocusramp.dev/crocusramp/platform/standin"
 )
 
-// tables are the adapters that must behave as storage.Table says.
+// tables are the adapters that must satisfy the contract of storage.Table.
 var tables = map[string]func(*testing.T) storage.Table{
 	"store": func(t *testing.T) storage.Table { return platform.NewTable(openStore(t)) },
 }
 
-// stores are the adapters that must behave as storage.Objects says.
-var stores = map[string]func(*testing.T) storage.Objects{
+// objectStores are the adapters that must satisfy the contract of storage.Objects.
+var objectStores = map[string]func(*testing.T) storage.Objects{
 	"store": func(t *testing.T) storage.Objects { return platform.NewObjects(openStore(t)) },
 }
 
@@ -89,7 +89,7 @@
 	for name, newTable := range tables {
 		t.Run(name, func(t *testing.T) {
 			table := newTable(t)
-			large := string(make([]byte, 200<<10)) // 25 of them pass the size of a page
+			large := string(make([]byte, 200<<10)) // 25 of these exceed the size of a page
 			for i := range items {
 				mustTransact(t, table, put("p", fmt.Sprintf("%04d", i), 0, large), put("other", fmt.Sprintf("%04d", i), 0, ""))
 			}
@@ -113,7 +113,7 @@
 				for i := c.from; i < c.end; i++ {
 					want = append(want, fmt.Sprintf("%04d", i))
 				}
-				if diff := cmp.Diff(want, sorts(got)); diff != "" {
+				if diff := cmp.Diff(want, sortKeys(got)); diff != "" {
 					t.Errorf("list after %q, limit %d:\n%s", c.after, c.limit, diff)
 				}
 			}
@@ -121,7 +121,7 @@
 	}
 }
 
-func sorts(items []storage.Item) []string {
+func sortKeys(items []storage.Item) []string {
 	var s []string
 	for _, i := range items {
 		s = append(s, i.Sort)
@@ -129,8 +129,8 @@
 	return s
 }
 
-// TestTableFollowsModel runs random transactions against a map that does the
-// same.
+// TestTableFollowsModel compares the results of random transactions with those of
+// an in-memory model.
 func TestTableFollowsModel(t *testing.T) {
 	for name, newTable := range tables {
 		t.Run(name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 }
 
 func TestObjects(t *testing.T) {
-	for name, newStore := range stores {
+	for name, newStore := range objectStores {
 		t.Run(name, func(t *testing.T) {
 			ctx, store := context.Background(), newStore(t)
 			if _, err := store.Get(ctx, "config/1"); !errors.Is(err, storage.ErrNotFound) {
@@ -203,7 +203,7 @@
 				}
 				got, err := store.Get(ctx, "config/ü 1")
 				if err != nil || !slices.Equal(got, data) {
-					t.Errorf("object of %d bytes came back with %d: %v", size, len(got), err)
+					t.Errorf("object of %d bytes was read back with %d bytes: %v", size, len(got), err)
 				}
 			}
 		})
--- a/pkg/storage/directory/directory.go
+++ b/pkg/storage/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory reads the platform's list of VMs over HTTP: GET answers
-// {"vms":[{"id":..,"peer_address":..,"state":"live"}]}.
+// Package directory reads the platform's list of VMs over HTTP. The response to
+// a GET is {"vms":[{"id":..,"peer_address":..,"state":"live"}]}.
 package directory
 
 import (
@@ -15,16 +15,17 @@
 )
 
 const (
-	// timeout bounds one reading of the list.
+	// timeout bounds one read of the list.
 	timeout = 2 * time.Second
-	// maxListBytes bounds the list: 4,500 VMs take about 400 KB.
+	// maxListBytes bounds the size of the list. 4,500 VMs take about 400 KB.
 	maxListBytes = 8 << 20
 )
 
-// errMissingList keeps an answer without a list from emptying the fleet.
-var errMissingList = errors.New(`answer has no "vms"`)
+// errMissingList reports a response without a list. It must not be read as an
+// empty list, which would remove every VM.
+var errMissingList = errors.New(`response has no "vms"`)
 
-// Directory is a storage.Directory.
+// Directory reads the list of VMs from a URL. It implements storage.Directory.
 type Directory struct {
 	client *http.Client
 	url    string
@@ -32,7 +33,7 @@
 
 var _ storage.Directory = (*Directory)(nil)
 
-// New returns the list at url.
+// New returns a Directory that reads the list at url.
 func New(url string) *Directory {
 	return &Directory{client: &http.Client{Transport: &http.Transport{}}, url: url}
 }
@@ -43,11 +44,12 @@
 	defer cancel()
 	vms, err := d.read(ctx)
 	if err != nil {
-		return nil, fmt.Errorf("list of VMs: %w: %w", storage.ErrUnavailable, err)
+		return nil, fmt.Errorf("read the list of VMs: %w: %w", storage.ErrUnavailable, err)
 	}
 	return vms, nil
 }
 
+// read sends the request and decodes the response.
 func (d *Directory) read(ctx context.Context) ([]storage.VM, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, d.url, nil)
 	if err != nil {
@@ -64,8 +66,8 @@
 	return decode(io.LimitReader(resp.Body, maxListBytes))
 }
 
-// decode reads a list. An entry that is not whole makes the list invalid:
-// leaving it out would say that the platform removed the VM.
+// decode decodes a list. An incomplete entry makes the whole list invalid:
+// skipping it would look as if the platform had removed the VM.
 func decode(r io.Reader) ([]storage.VM, error) {
 	var body struct {
 		VMs *[]storage.VM `json:"vms"`
@@ -78,7 +80,7 @@
 	}
 	for _, vm := range *body.VMs {
 		if vm.ID == "" || vm.PeerAddress == "" {
-			return nil, fmt.Errorf("VM %q at %q is not whole", vm.ID, vm.PeerAddress)
+			return nil, fmt.Errorf("VM %q with peer address %q lacks an ID or address", vm.ID, vm.PeerAddress)
 		}
 		if vm.State != storage.VMLive && vm.State != storage.VMLeaving {
 			return nil, fmt.Errorf("VM %q has unknown state %q", vm.ID, vm.State)
--- a/pkg/storage/directory/directory_test.go
+++ b/pkg/storage/directory/directory_test.go
@@ -12,9 +12,9 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// TestUnusableListIsNoEmptyList proves that no broken answer reads as a list
-// from which VMs were removed.
-func TestUnusableListIsNoEmptyList(t *testing.T) {
+// TestMalformedListIsAnError guards against malformed responses that are read
+// as a list from which VMs were removed.
+func TestMalformedListIsAnError(t *testing.T) {
 	bodies := []string{
 		``, `{}`, `{"vms":null}`, `[]`, `{"vms":[`, `{"vms":[{}]}`,
 		`{"vms":[{"id":"a","state":"live"}]}`,
@@ -46,7 +46,7 @@
 	f.Fuzz(func(t *testing.T, body string) {
 		vms, err := decode(strings.NewReader(body))
 		if err == nil && vms == nil {
-			t.Error("no list and no error")
+			t.Error("got neither a list nor an error")
 		}
 	})
 }
--- a/pkg/storage/platform.go
+++ b/pkg/storage/platform.go
@@ -1,6 +1,6 @@
-// Package storage declares what the product keeps outside its processes: a
-// transactional table, an object store and a list of VMs. The platform folder
-// implements the first two.
+// Package storage declares the external services that hold the fleet's state: a
+// transactional table, an object store and a list of VMs. Package platform
+// implements the first two, package directory the list.
 package storage
 
 import (
@@ -12,19 +12,19 @@
 var (
 	// ErrNotFound reports that the item or object does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrUnavailable reports that the service could not be asked, or refused
-	// before doing anything. A write that fails so did not take effect.
+	// ErrUnavailable reports that the service could not be reached, or refused
+	// the call before doing anything. A write that fails with it had no effect.
 	ErrUnavailable = errors.New("platform unavailable")
-	// ErrIndeterminate reports that the answer to a write was lost: it may or
-	// may not have taken effect. Readers settle it by reading back.
+	// ErrIndeterminate reports that the response to a write was lost: the write
+	// may or may not have taken effect. Readers resolve it by reading back.
 	ErrIndeterminate = errors.New("write outcome unknown")
 )
 
-// ConflictError reports a transaction of which at least one condition failed.
-// Nothing of it took effect.
+// ConflictError reports a transaction with at least one failed condition. None
+// of its writes took effect.
 type ConflictError struct {
-	// Failed holds the indexes of the writes whose condition failed. It is
-	// empty where the service refused because of another transaction.
+	// Failed holds the indexes of the writes whose condition failed. It is empty
+	// if the service refused the transaction because of a concurrent one.
 	Failed []int
 }
 
@@ -36,7 +36,7 @@
 // platform's store takes 100 entries, and each write has a condition of its own.
 const MaxTransactWrites = 50
 
-// Key names an item: items of one partition are listed in order of Sort.
+// Key identifies an item. The items of a partition are listed in order of Sort.
 type Key struct {
 	Partition string
 	Sort      string
@@ -45,7 +45,7 @@
 // Item is one row of the table.
 type Item struct {
 	Key
-	// Revision is 1 when the item is created and grows by 1 with each write.
+	// Revision is 1 when the item is created and increases by 1 with each write.
 	Revision int64
 	Value    []byte
 }
@@ -53,10 +53,10 @@
 // Write is one conditional write of a transaction.
 type Write struct {
 	Key
-	// IfRevision is the revision that the item must have; 0 demands that it
-	// does not exist. The write sets the revision to IfRevision+1.
+	// IfRevision is the revision that the item must have; 0 means that it must
+	// not exist. The write sets the revision to IfRevision+1.
 	IfRevision int64
-	// Delete removes the item in place of writing Value.
+	// Delete removes the item instead of writing Value.
 	Delete bool
 	Value  []byte
 }
@@ -82,7 +82,7 @@
 	Put(ctx context.Context, name string, data []byte) error
 }
 
-// VMState is what the platform says of a VM.
+// VMState is the state of a VM in the platform's list.
 type VMState string
 
 // The states of a VM in the platform's list.
@@ -91,7 +91,7 @@
 	VMLeaving VMState = "leaving"
 )
 
-// VM is an entry of the platform's list, which lags behind reality.
+// VM is an entry of the platform's list. The list lags behind the actual state.
 type VM struct {
 	ID string `json:"id"`
 	// PeerAddress is the host:port of the VM's peer protocol.
@@ -101,7 +101,7 @@
 
 // Directory is the platform's list of VMs.
 type Directory interface {
-	// VMs returns the live and leaving VMs. A VM that has been removed does
-	// not come back under the same ID. Errors: ErrUnavailable.
+	// VMs returns the live and leaving VMs. The ID of a removed VM is not used
+	// again. Errors: ErrUnavailable.
 	VMs(ctx context.Context) ([]VM, error)
 }
