--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -249,7 +249,7 @@
 }
 
 func (d *Daemon) callersHandler() http.Handler {
-	next := d.entry.Callers()
+	next := d.entry.CallersHandler()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /readyz", d.readyz)
 	mux.HandleFunc("GET /healthz", healthz)
@@ -279,7 +279,7 @@
 func (d *Daemon) peersHandler() http.Handler {
 	mux := http.NewServeMux()
 	for _, service := range []func() (string, http.Handler){
-		d.members.Handler, d.feed.Handler, d.limiter.Handler, d.entry.Peers,
+		d.members.Handler, d.feed.Handler, d.limiter.Handler, d.entry.PeersHandler,
 	} {
 		prefix, handler := service()
 		mux.Handle(prefix, handler)
--- a/pkg/deathreport/deathreport.go
+++ b/pkg/deathreport/deathreport.go
@@ -111,7 +111,7 @@
 			continue
 		}
 		g.Go(func() error {
-			client := peerpb.NewRequestProtobufClient(s.cfg.Peers.URL(p.PeerAddress), s.cfg.Peers.HTTP(), twirp.WithClientPathPrefix(s.cfg.PathPrefix))
+			client := peerpb.NewRequestProtobufClient(s.cfg.Peers.BaseURL(p.PeerAddress), s.cfg.Peers.HTTPClient(), twirp.WithClientPathPrefix(s.cfg.PathPrefix))
 			if _, err := client.ReportDeaths(ctx, request); err != nil {
 				s.cfg.Log.Warn().Err(err).Str("vm", p.ID).Msg("failed to report target deaths to a peer")
 			}
--- a/pkg/entry/fakes_test.go
+++ b/pkg/entry/fakes_test.go
@@ -208,7 +208,7 @@
 	}
 	v.Server = NewServer(c)
 	v.SetReady(true)
-	v.callers = httptest.NewUnstartedServer(v.Callers())
+	v.callers = httptest.NewUnstartedServer(v.CallersHandler())
 	v.callers.Config.ErrorLog = log.New(v.serverLog, "", 0)
 	v.callers.Start()
 	t.Cleanup(func() {
@@ -217,7 +217,7 @@
 			t.Errorf("the server panicked: %s", text)
 		}
 	})
-	prefix, handler := v.Peers()
+	prefix, handler := v.PeersHandler()
 	mux := http.NewServeMux()
 	mux.Handle(prefix, handler)
 	v.peers = httptest.NewServer(mux)
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -178,12 +178,12 @@
 	return forward.NewClient(forward.Config{Dial: d.DialContext})
 }
 
-// Callers returns the handler for the callers' listener.
-func (s *Server) Callers() http.Handler { return s.callersHandler }
+// CallersHandler returns the handler for the callers' listener.
+func (s *Server) CallersHandler() http.Handler { return s.callersHandler }
 
-// Peers returns the handler for requests from other VMs and the path prefix under
+// PeersHandler returns the handler for requests from other VMs and the path prefix under
 // which the peer listener must serve it.
-func (s *Server) Peers() (prefix string, h http.Handler) { return peerPrefix, s.peersHandler }
+func (s *Server) PeersHandler() (prefix string, h http.Handler) { return peerPrefix, s.peersHandler }
 
 // SetReady sets whether the server accepts requests.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
--- a/pkg/member/prober.go
+++ b/pkg/member/prober.go
@@ -178,7 +178,7 @@
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.ProbeTimeout)
 	defer cancel()
 	sent := time.Now()
-	client := peerpb.NewMemberProtobufClient(p.cfg.Dialer.URL(address), p.cfg.Dialer.HTTP())
+	client := peerpb.NewMemberProtobufClient(p.cfg.Dialer.BaseURL(address), p.cfg.Dialer.HTTPClient())
 	answer, err := client.Hello(ctx, &peerpb.HelloRequest{})
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -80,12 +80,12 @@
 	return &Dialer{client: &http.Client{Transport: transport}, scheme: scheme, config: config}
 }
 
-// HTTP returns the HTTP client for all peers. It has no timeout: callers set a deadline
+// HTTPClient returns the HTTP client for all peers. It has no timeout: callers set a deadline
 // in the context.
-func (d *Dialer) HTTP() *http.Client { return d.client }
+func (d *Dialer) HTTPClient() *http.Client { return d.client }
 
-// URL returns the base URL of the peer at host:port addr.
-func (d *Dialer) URL(addr string) string { return d.scheme + "://" + addr }
+// BaseURL returns the base URL of the peer at host:port addr.
+func (d *Dialer) BaseURL(addr string) string { return d.scheme + "://" + addr }
 
 // DialContext connects to a peer, for users that manage their own connections instead of
 // using the HTTP client.
