--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -50,18 +50,18 @@
 type Record struct {
 	// Token is unique to one claim. If the response to a claimer's write was lost, the claimer
 	// finds its token in the table if the write took effect.
-	Token       string `json:"token"`
-	VM          string `json:"vm"`
-	Incarnation string `json:"incarnation"`
-	State       State  `json:"state"`
-	Answer      Answer `json:"answer,omitzero"`
+	Token       string   `json:"token"`
+	VM          string   `json:"vm"`
+	Incarnation string   `json:"incarnation"`
+	State       State    `json:"state"`
+	Response    Response `json:"answer,omitzero"`
 }
 
-// Answer is the stored part of a target's response.
-type Answer struct {
+// Response is the stored part of a target's response.
+type Response struct {
 	Status int `json:"status,omitempty"`
-	// Kept reports that Header and Body are the complete response. Otherwise only Status is known.
-	Kept   bool        `json:"kept,omitempty"`
+	// Stored reports that Header and Body are the complete response. Otherwise only Status is known.
+	Stored bool        `json:"kept,omitempty"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
 }
--- a/pkg/claim/session.go
+++ b/pkg/claim/session.go
@@ -40,7 +40,7 @@
 	requests map[[sha256.Size]byte]*request
 	// expiry lists the requests roughly in the order in which their tickets expire.
 	expiry    []expiringRequest
-	responses *lru.Cache[[sha256.Size]byte, Answer]
+	responses *lru.Cache[[sha256.Size]byte, Response]
 }
 
 // request is the in-memory state of one request.
@@ -63,7 +63,7 @@
 	if c.MaxResponses == 0 {
 		c.MaxResponses = defaultMaxResponses
 	}
-	responses, err := lru.New[[sha256.Size]byte, Answer](c.MaxResponses)
+	responses, err := lru.New[[sha256.Size]byte, Response](c.MaxResponses)
 	if err != nil {
 		panic(err) // only a size below 1 fails
 	}
@@ -86,8 +86,8 @@
 const (
 	// Run means that the request is new and is now recorded. The caller runs it.
 	Run Decision = iota
-	// Seen means that the request was recorded before; the Record holds its state.
-	Seen
+	// Duplicate means that the request was recorded before; the Record holds its state.
+	Duplicate
 	// Forged means that this process did not issue the ticket to the account. The request must not
 	// run.
 	Forged
@@ -110,7 +110,7 @@
 	defer s.mu.Unlock()
 	s.removeExpiredLocked(now)
 	if recorded, ok := s.requests[h]; ok {
-		return Seen, s.recordLocked(h, recorded)
+		return Duplicate, s.recordLocked(h, recorded)
 	}
 	if !now.Before(t.Expires) {
 		return Expired, nil
@@ -144,15 +144,15 @@
 
 // recordLocked returns the Record of a request, with the response if it is still kept.
 func (s *Session) recordLocked(h [sha256.Size]byte, e *request) *Record {
-	r := &Record{VM: s.config.VM, Incarnation: s.config.Incarnation, State: e.state, Answer: Answer{Status: e.status}}
+	r := &Record{VM: s.config.VM, Incarnation: s.config.Incarnation, State: e.state, Response: Response{Status: e.status}}
 	if a, ok := s.responses.Get(h); ok {
-		r.Answer = a
+		r.Response = a
 	}
 	return r
 }
 
 // Finish records the final state of the request and its response.
-func (s *Session) Finish(id ID, state State, a Answer) {
+func (s *Session) Finish(id ID, state State, a Response) {
 	h := hashID(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +167,7 @@
 		return
 	}
 	e.state, e.status = state, a.Status
-	if a.Kept {
+	if a.Stored {
 		s.responses.Add(h, a)
 	}
 }
--- a/pkg/claim/session_test.go
+++ b/pkg/claim/session_test.go
@@ -33,17 +33,17 @@
 	if v, _ := begin(t, s, "acme", key); v != Run {
 		t.Fatalf("first attempt: %v, want Run", v)
 	}
-	if v, r := begin(t, s, "acme", key); v != Seen || r.State != Running {
+	if v, r := begin(t, s, "acme", key); v != Duplicate || r.State != Running {
 		t.Errorf("retry of a running request: %v %+v, want a record in state Running", v, r)
 	}
-	s.Finish(ID{"acme", "filing", key}, Done, Answer{Status: 201, Kept: true, Body: []byte("x")})
-	if v, r := begin(t, s, "acme", key); v != Seen || r.State != Done || string(r.Answer.Body) != "x" {
+	s.Finish(ID{"acme", "filing", key}, Done, Response{Status: 201, Stored: true, Body: []byte("x")})
+	if v, r := begin(t, s, "acme", key); v != Duplicate || r.State != Done || string(r.Response.Body) != "x" {
 		t.Errorf("retry of a completed request: %v %+v, want a record with the response", v, r)
 	}
 	if v, _ := begin(t, s, "acme", ticket+"/2"); v != Run {
 		t.Errorf("another request with the same ticket: %v, want Run", v)
 	}
-	s.Finish(ID{"acme", "filing", ticket + "/2"}, Released, Answer{})
+	s.Finish(ID{"acme", "filing", ticket + "/2"}, Released, Response{})
 	if v, _ := begin(t, s, "acme", ticket+"/2"); v != Run {
 		t.Errorf("retry after a release: %v, want Run", v)
 	}
@@ -81,12 +81,12 @@
 		if v, _ := begin(t, s, "acme", ticket+suffix); v != Run {
 			t.Fatal(v)
 		}
-		s.Finish(ID{"acme", "filing", ticket + suffix}, Done, Answer{Status: 200, Kept: true})
+		s.Finish(ID{"acme", "filing", ticket + suffix}, Done, Response{Status: 200, Stored: true})
 	}
 	if v, _ := begin(t, s, "acme", ticket+"/3"); v != Full {
 		t.Errorf("third request: %v, want Full", v)
 	}
-	if v, r := begin(t, s, "acme", ticket+"/1"); v != Seen || r.Answer.Kept || r.Answer.Status != 200 {
+	if v, r := begin(t, s, "acme", ticket+"/1"); v != Duplicate || r.Response.Stored || r.Response.Status != 200 {
 		t.Errorf("retry of the first request: %v %+v, want a record with only the status", v, r)
 	}
 	fake.Advance(TicketTTL + time.Second)
--- a/pkg/claim/store.go
+++ b/pkg/claim/store.go
@@ -181,8 +181,8 @@
 // Finish records the final state of the request in the background. The item of a Released claim is
 // not deleted: an item that is deleted and created again has its old revision, and so a late release
 // of the first claim could release the second one.
-func (c *Claim) Finish(state State, a Answer) {
-	c.record.State, c.record.Answer = state, a
+func (c *Claim) Finish(state State, a Response) {
+	c.record.State, c.record.Response = state, a
 	if state == Released {
 		c.store.recent.Remove(c.key)
 	} else {
--- a/pkg/claim/store_test.go
+++ b/pkg/claim/store_test.go
@@ -39,7 +39,7 @@
 			if len(unfinished) > 0 && rapid.Bool().Draw(t, "end") {
 				c := unfinished[0]
 				unfinished = unfinished[1:]
-				c.Finish(Released, Answer{})
+				c.Finish(Released, Response{})
 				c.store.Wait()
 				continue
 			}
@@ -77,13 +77,13 @@
 	id := ID{"acme", "filing", "k"}
 	first, _, _ := newTestStore(table, "vm-1").Claim(context.Background(), id)
 	replayed := *first
-	first.Finish(Released, Answer{})
+	first.Finish(Released, Response{})
 	first.store.Wait()
 	second, _, _ := newTestStore(table, "vm-2").Claim(context.Background(), id)
 	if second == nil {
 		t.Fatal("a released request cannot be claimed again")
 	}
-	replayed.Finish(Released, Answer{})
+	replayed.Finish(Released, Response{})
 	replayed.store.Wait()
 	if third, _, _ := newTestStore(table, "vm-3").Claim(context.Background(), id); third != nil {
 		t.Error("a late release of the first claim released the second")
@@ -99,10 +99,10 @@
 			t.Errorf("fault %d: claim failed: %v", f, err)
 			continue
 		}
-		c.Finish(Done, Answer{Status: 201, Kept: true, Body: []byte("x")})
+		c.Finish(Done, Response{Status: 201, Stored: true, Body: []byte("x")})
 		c.store.Wait()
 		_, record, _ := newTestStore(table, "vm-2").Claim(context.Background(), ID{"a", "r", "k"})
-		if record == nil || record.State != Done || string(record.Answer.Body) != "x" {
+		if record == nil || record.State != Done || string(record.Response.Body) != "x" {
 			t.Errorf("fault %d: record %+v, want Done with the response", f, record)
 		}
 	}
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -204,7 +204,7 @@
 		RequireEcho: func(pool string) bool { return requireEcho[pool] },
 	})
 	d.operators = operator.NewServer(operator.Config{
-		Feed: d.feed, Status: d, Places: places(s), Log: d.log, Metrics: d.registry,
+		Feed: d.feed, Status: d, KnownNames: places(s), Log: d.log, Metrics: d.registry,
 	})
 	d.servers.callers.Handler = d.callersHandler()
 	d.servers.operators.Handler = d.operatorsHandler()
@@ -265,7 +265,7 @@
 
 func (d *Daemon) operatorsHandler() http.Handler {
 	var api http.Handler = d.operators.Handler()
-	if hashes := d.settings.Operator.TokenHashes; len(hashes) > 0 {
+	if hashes := d.settings.Operators.TokenHashes; len(hashes) > 0 {
 		api = operator.RequireToken(hashes)(api)
 	}
 	e := echo.New()
--- a/pkg/daemon/places.go
+++ b/pkg/daemon/places.go
@@ -10,8 +10,8 @@
 // places returns the names that routes, shifts and drains may refer to, so that
 // the operators' API refuses a misspelt one. A failure domain is listed both by
 // its own name and as REGION/NAME.
-func places(s *settings.Settings) operator.Places {
-	p := operator.Places{Regions: s.Regions, Pools: []string{}, FailureDomains: []string{}, Targets: []string{}}
+func places(s *settings.Settings) operator.KnownNames {
+	p := operator.KnownNames{Regions: s.Regions, Pools: []string{}, FailureDomains: []string{}, Targets: []string{}}
 	addDomain := func(region, domain string) {
 		p.FailureDomains = append(p.FailureDomains, domain, region+"/"+domain)
 	}
--- a/pkg/edge/fleet.go
+++ b/pkg/edge/fleet.go
@@ -323,7 +323,7 @@
 // RetryLimit implements ingress.Fleet.
 func (r *registry) RetryLimit() retry.PoolLimit {
 	b := r.settings.Load().Bounds
-	return retry.PoolLimit{Ratio: b.RepeatRatio, Floor: b.RepeatFloor, Window: b.RepeatWindow.Duration, VMs: r.sharingCount()}
+	return retry.PoolLimit{Ratio: b.RetryRatio, Floor: b.RetryFloor, Window: b.RetryWindow.Duration, VMs: r.sharingCount()}
 }
 
 // sorted returns the registrations sorted by ID.
--- a/pkg/edge/fleet_test.go
+++ b/pkg/edge/fleet_test.go
@@ -27,7 +27,7 @@
 
 func newTestRegistry(id string, firstStart bool) *registry {
 	var s atomic.Pointer[settings.Edge]
-	s.Store(&settings.Edge{Bounds: settings.Bounds{ColdFactor: 1.5, ColdSlack: 5, RepeatRatio: 0.2, RepeatFloor: 60}})
+	s.Store(&settings.Edge{Bounds: settings.Bounds{ColdFactor: 1.5, ColdSlack: 5, RetryRatio: 0.2, RetryFloor: 60}})
 	return newRegistry(Registration{ID: id, PeerAddress: "10.0.0.0:1"}, 0, firstStart, &s)
 }
 
--- a/pkg/edge/main.go
+++ b/pkg/edge/main.go
@@ -32,7 +32,7 @@
 	go forwardReloads(ctx, hangups, reload)
 	out := telemetry.NewAsyncWriter(stdout)
 	defer out.Close()
-	log, err := telemetry.NewDecisionLogger(out, telemetry.LogConfig{Level: s.Log.Level, Text: s.Log.Format == "text", VM: s.VM.ID})
+	log, err := telemetry.NewUnlimitedLogger(out, telemetry.LogConfig{Level: s.Log.Level, Text: s.Log.Format == "text", VM: s.VM.ID})
 	if err != nil {
 		return fmt.Errorf("%w: log: %w", settings.ErrInvalid, err)
 	}
--- a/pkg/entry/answer.go
+++ b/pkg/entry/answer.go
@@ -50,7 +50,7 @@
 	started time.Time
 	// recordEnd, if set, records the result in the request's claim when the stream
 	// ends.
-	recordEnd func(claim.State, claim.Answer)
+	recordEnd func(claim.State, claim.Response)
 }
 
 // readAnswer reads a response: all of it if it is small, otherwise its first part. It
@@ -143,7 +143,7 @@
 		result.Outcome, state = outcome.Unknown, claim.Ended
 	}
 	if a.recordEnd != nil {
-		a.recordEnd(state, claim.Answer{Status: a.status})
+		a.recordEnd(state, claim.Response{Status: a.status})
 	}
 	a.stream.Close()
 	a.release(result)
--- a/pkg/entry/once.go
+++ b/pkg/entry/once.go
@@ -117,10 +117,10 @@
 		return s.fromRecord(record)
 	}
 	a := s.runWithRetries(ctx, c)
-	a.onEnd(func(state claim.State, kept claim.Answer) {
+	a.onEnd(func(state claim.State, kept claim.Response) {
 		if c.route.Open {
 			// Any caller may send the same key, but only one may see the response.
-			kept = claim.Answer{Status: kept.Status}
+			kept = claim.Response{Status: kept.Status}
 		}
 		claimed.Finish(state, kept)
 	})
@@ -132,7 +132,7 @@
 	verdict, record := s.session.Begin(c.claimID(), t)
 	switch verdict {
 	case claim.Run:
-	case claim.Seen:
+	case claim.Duplicate:
 		return s.fromRecord(record)
 	case claim.Forged:
 		return &answer{refusal: badRequest("The ticket was not issued to this client account.")}
@@ -143,7 +143,7 @@
 	}
 	a := s.runWithRetries(ctx, c)
 	id := c.claimID()
-	a.onEnd(func(state claim.State, kept claim.Answer) { s.session.Finish(id, state, kept) })
+	a.onEnd(func(state claim.State, kept claim.Response) { s.session.Finish(id, state, kept) })
 	return a
 }
 
@@ -172,7 +172,7 @@
 
 // onEnd calls finish with the result to record: immediately, or at the end of a
 // streamed response.
-func (a *answer) onEnd(finish func(claim.State, claim.Answer)) {
+func (a *answer) onEnd(finish func(claim.State, claim.Response)) {
 	if a.stream != nil {
 		a.recordEnd = finish
 		return
@@ -182,18 +182,18 @@
 
 // toRecord returns the state and the response to record for an answer that is not
 // streamed.
-func (a *answer) toRecord() (claim.State, claim.Answer) {
+func (a *answer) toRecord() (claim.State, claim.Response) {
 	if a.refusal != nil {
 		if a.refusal.Outcome == outcome.NotRun {
-			return claim.Released, claim.Answer{}
+			return claim.Released, claim.Response{}
 		}
-		return claim.Ended, claim.Answer{}
+		return claim.Ended, claim.Response{}
 	}
-	kept := claim.Answer{Status: a.status}
+	kept := claim.Response{Status: a.status}
 	if len(a.head) > maxKeptBodyBytes || headerFieldBytes(a.header) > maxKeptHeaderBytes {
 		return claim.Done, kept
 	}
-	kept.Kept, kept.Header, kept.Body = true, a.header.Clone(), a.head
+	kept.Stored, kept.Header, kept.Body = true, a.header.Clone(), a.head
 	kept.Header.Del(headerRequestID)
 	return claim.Done, kept
 }
@@ -201,15 +201,15 @@
 // fromRecord returns the answer to a call whose idempotency key was used before.
 func (s *Server) fromRecord(r *claim.Record) *answer {
 	switch {
-	case r.State == claim.Done && r.Answer.Kept:
-		h := r.Answer.Header.Clone()
+	case r.State == claim.Done && r.Response.Stored:
+		h := r.Response.Header.Clone()
 		if h == nil {
 			h = http.Header{}
 		}
 		h.Set(headerReplayed, "true")
-		return &answer{status: r.Answer.Status, header: h, head: r.Answer.Body}
+		return &answer{status: r.Response.Status, header: h, head: r.Response.Body}
 	case r.State == claim.Done:
-		return duplicateAnswer(0, fmt.Sprintf("The request ran and was answered with status %d; the answer was not kept.", r.Answer.Status))
+		return duplicateAnswer(0, fmt.Sprintf("The request ran and was answered with status %d; the answer was not kept.", r.Response.Status))
 	case r.State == claim.Running && !s.config.Members.View().Gone(r.Incarnation):
 		return duplicateAnswer(runningRetryAfter, "A request with this idempotency key is running.")
 	default:
--- a/pkg/operator/places.go
+++ b/pkg/operator/places.go
@@ -8,10 +8,10 @@
 	"crocusramp.dev/crocusramp/pkg/config"
 )
 
-// Places lists the names that are defined in the VM's settings. VMs would accept a configuration
+// KnownNames lists the names that are defined in the VM's settings. VMs would accept a configuration
 // that refers to other names, but it would have no effect. The API therefore rejects such a change.
 // Names are not checked against a nil list.
-type Places struct {
+type KnownNames struct {
 	Pools          []string
 	Regions        []string
 	FailureDomains []string
@@ -20,7 +20,7 @@
 }
 
 // check returns an error if the action refers to a name that is not listed.
-func (p *Places) check(a config.Action) error {
+func (p *KnownNames) check(a config.Action) error {
 	switch {
 	case a.Route != nil && a.Route.Value != nil:
 		return checkName(config.Entity{Kind: config.KindRoute, Name: a.Route.Name}, "pool", a.Route.Value.Pool, p.Pools)
@@ -32,7 +32,7 @@
 	return nil
 }
 
-func (p *Places) checkShift(s *config.Shift) error {
+func (p *KnownNames) checkShift(s *config.Shift) error {
 	e := config.Entity{Kind: config.KindShift, Name: s.Name}
 	if err := checkName(e, "pool", s.Pool, p.Pools); err != nil {
 		return err
@@ -44,7 +44,7 @@
 }
 
 // checkDrain does not check the IDs of VMs, because VMs join and leave at run time.
-func (p *Places) checkDrain(d *config.Drain) error {
+func (p *KnownNames) checkDrain(d *config.Drain) error {
 	lists := map[config.DrainKind][]string{
 		config.DrainRegion:        p.Regions,
 		config.DrainFailureDomain: p.FailureDomains,
--- a/pkg/operator/server.go
+++ b/pkg/operator/server.go
@@ -40,9 +40,9 @@
 	// Status is the source for status calls. If it is nil, they return an unavailable error.
 	Status StatusSource
 	Log    zerolog.Logger
-	// Places lists the names that routes, shifts and drains may refer to. The zero value accepts
+	// KnownNames lists the names that routes, shifts and drains may refer to. The zero value accepts
 	// any name.
-	Places Places
+	KnownNames KnownNames
 	// Metrics receives the counters of calls and errors by method; nil discards them.
 	Metrics metrics.Registry
 }
--- a/pkg/operator/server_test.go
+++ b/pkg/operator/server_test.go
@@ -118,7 +118,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := NewServer(Config{
 				Feed: &fakeFeed{config: config.Empty(), err: tc.err},
-				Places: Places{
+				KnownNames: KnownNames{
 					Pools: []string{"registru"}, Regions: []string{"muntenia", "moldova"}, FailureDomains: []string{"muntenia-a"},
 				},
 			}).Handler()
--- a/pkg/operator/writer.go
+++ b/pkg/operator/writer.go
@@ -59,7 +59,7 @@
 		if subject, op, err = action.Subject(); err != nil {
 			return config.Change{}, err
 		}
-		return config.Change{Action: action}, w.cfg.Places.check(action)
+		return config.Change{Action: action}, w.cfg.KnownNames.check(action)
 	}, expected)
 	if err != nil {
 		return 0, toTwirp(err)
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -309,12 +309,12 @@
 
 func (s *Settings) checkOperators() error {
 	const hexHashLength = 64
-	for i, h := range s.Operator.TokenHashes {
+	for i, h := range s.Operators.TokenHashes {
 		if len(h) != hexHashLength || strings.Trim(strings.ToLower(h), "0123456789abcdef") != "" {
 			return invalid(fmt.Sprintf("operators.token_hashes[%d]", i), "not the SHA-256 of a token in hex")
 		}
 	}
-	if len(s.Operator.TokenHashes) == 0 && !isLoopback(s.Listen.Operators) {
+	if len(s.Operators.TokenHashes) == 0 && !isLoopback(s.Listen.Operators) {
 		return invalid("operators.token_hashes", "missing; required because listen.operators %q is not loopback", s.Listen.Operators)
 	}
 	return nil
--- a/pkg/settings/edge.go
+++ b/pkg/settings/edge.go
@@ -54,11 +54,11 @@
 	Grace Duration `json:"grace"`
 	// LocateTTL is the longest time that callers may cache a look-up. The default is 5 s.
 	LocateTTL Duration `json:"locate_ttl"`
-	// RepeatRatio, RepeatFloor and RepeatWindow limit the retries to a pool to ratio x requests +
+	// RetryRatio, RetryFloor and RetryWindow limit the retries to a pool to ratio x requests +
 	// floor in any window. The defaults are 0.2, 60 and 10 s.
-	RepeatRatio  float64  `json:"repeat_ratio"`
-	RepeatFloor  float64  `json:"repeat_floor"`
-	RepeatWindow Duration `json:"repeat_window"`
+	RetryRatio  float64  `json:"repeat_ratio"`
+	RetryFloor  float64  `json:"repeat_floor"`
+	RetryWindow Duration `json:"repeat_window"`
 	// QuotaWindow, QuotaOverage and QuotaSlack limit the admitted requests of an account to (rate x
 	// window + burst) x (1 + overage) + slack in any window. Overage and slack are used only for
 	// requests that arrive right after a restart. The defaults are 5 s, 0 and 0.
@@ -107,13 +107,13 @@
 	setDefault(&b.Drain, defaultDrain)
 	setDefault(&b.Grace, defaultEdgeGrace)
 	setDefault(&b.LocateTTL, defaultEdgeLocateTTL)
-	setDefault(&b.RepeatWindow, defaultRetryWindow)
+	setDefault(&b.RetryWindow, defaultRetryWindow)
 	setDefault(&b.QuotaWindow, defaultQuotaWindow)
 	for _, f := range []struct {
 		value        *float64
 		defaultValue float64
 	}{
-		{&b.RepeatRatio, defaultRetryRatio}, {&b.RepeatFloor, defaultRetryFloor},
+		{&b.RetryRatio, defaultRetryRatio}, {&b.RetryFloor, defaultRetryFloor},
 		{&b.ColdFactor, defaultColdFactor}, {&b.ColdSlack, defaultColdSlack},
 	} {
 		if *f.value == 0 {
@@ -165,7 +165,7 @@
 		value float64
 	}{
 		{"store.reads_per_second", s.Store.ReadsPerSecond}, {"store.writes_per_second", s.Store.WritesPerSecond},
-		{"bounds.repeat_ratio", b.RepeatRatio}, {"bounds.repeat_floor", b.RepeatFloor},
+		{"bounds.repeat_ratio", b.RetryRatio}, {"bounds.repeat_floor", b.RetryFloor},
 		{"bounds.cold_slack", b.ColdSlack}, {"bounds.quota_overage", b.QuotaOverage}, {"bounds.quota_slack", b.QuotaSlack},
 	} {
 		if f.value < 0 {
--- a/pkg/settings/edge_test.go
+++ b/pkg/settings/edge_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Bounds.Drain.Duration != 2500*time.Millisecond || s.Bounds.Grace.Duration != 6*time.Second || s.Bounds.RepeatRatio != 0.2 || s.Log.Level != "info" {
+	if s.Bounds.Drain.Duration != 2500*time.Millisecond || s.Bounds.Grace.Duration != 6*time.Second || s.Bounds.RetryRatio != 0.2 || s.Log.Level != "info" {
 		t.Errorf("unexpected values or defaults: %+v", s)
 	}
 }
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -67,7 +67,7 @@
 	Lease        Lease         `json:"lease"`
 	Feed         Feed          `json:"feed"`
 	Callers      Callers       `json:"callers"`
-	Operator     Operators     `json:"operators"`
+	Operators    Operators     `json:"operators"`
 	TLS          TLS           `json:"tls"`
 	Log          Log           `json:"log"`
 	Traces       Traces        `json:"traces"`
--- a/pkg/telemetry/async.go
+++ b/pkg/telemetry/async.go
@@ -19,9 +19,9 @@
 	})
 }
 
-// NewDecisionLogger returns a logger that, unlike NewLogger, writes all repeated events. w must not
+// NewUnlimitedLogger returns a logger that, unlike NewLogger, writes all repeated events. w must not
 // block.
-func NewDecisionLogger(w io.Writer, cfg LogConfig) (zerolog.Logger, error) {
+func NewUnlimitedLogger(w io.Writer, cfg LogConfig) (zerolog.Logger, error) {
 	level, err := zerolog.ParseLevel(cfg.Level)
 	if err != nil {
 		return zerolog.Nop(), fmt.Errorf("log level %q: %w", cfg.Level, err)
