--- a/pkg/standin/directory/directory.go
+++ b/pkg/standin/directory/directory.go
@@ -71,7 +71,7 @@
 }
 
 func (s *Server) serveList(w http.ResponseWriter, _ *http.Request) {
-	admin.Answer(w, list{s.visibleList(time.Now())})
+	admin.WriteJSON(w, list{s.visibleList(time.Now())})
 }
 
 // visibleList returns the newest list that was set at least the lag ago. The
@@ -95,7 +95,7 @@
 		return
 	}
 	s.Set(l.VMs)
-	admin.Answer(w, l)
+	admin.WriteJSON(w, l)
 }
 
 func (s *Server) serveLag(w http.ResponseWriter, r *http.Request) {
@@ -107,5 +107,5 @@
 		return
 	}
 	s.SetLag(time.Duration(body.Lag))
-	admin.Answer(w, body)
+	admin.WriteJSON(w, body)
 }
--- a/pkg/standin/fault/fault.go
+++ b/pkg/standin/fault/fault.go
@@ -23,8 +23,8 @@
 
 // The values of Down.
 const (
-	// DownNo means that the service is up.
-	DownNo Down = ""
+	// DownNone means that the service is up.
+	DownNone Down = ""
 	// DownRefuse responds with 503.
 	DownRefuse Down = "refuse"
 	// DownClose closes the connection without a response.
@@ -70,17 +70,17 @@
 	// requests above them are throttled. 0 means unlimited.
 	ReadRate  float64 `json:"read_rate,omitempty"`
 	WriteRate float64 `json:"write_rate,omitempty"`
-	// LoseAnswers is how many of the next writes take effect without a response.
-	LoseAnswers int `json:"lose_answers,omitempty"`
-	// LoseRate is the fraction of writes, 0 to 1, whose response is lost.
-	LoseRate float64 `json:"lose_rate,omitempty"`
+	// LoseResponses is how many of the next writes take effect without a response.
+	LoseResponses int `json:"lose_answers,omitempty"`
+	// LoseResponseRate is the fraction of writes, 0 to 1, whose response is lost.
+	LoseResponseRate float64 `json:"lose_rate,omitempty"`
 	// Conflicts is how many of the next writes are refused as if another
 	// transaction held the same items.
 	Conflicts int `json:"conflicts,omitempty"`
 	// ConflictRate is the fraction of writes, 0 to 1, that are refused with a
 	// conflict.
 	ConflictRate float64 `json:"conflict_rate,omitempty"`
-	// Seed seeds the random generator behind LoseRate and ConflictRate.
+	// Seed seeds the random generator behind LoseResponseRate and ConflictRate.
 	Seed uint64 `json:"seed,omitempty"`
 }
 
@@ -132,12 +132,12 @@
 	return i.faults.Throttle || !i.writes.take(n, time.Now())
 }
 
-// LoseAnswer reports whether the response to the write that was just executed
-// must be lost. It decrements LoseAnswers if that is above 0.
-func (i *Injector) LoseAnswer() bool {
+// LoseResponse reports whether the response to the write that was just executed
+// must be lost. It decrements LoseResponses if that is above 0.
+func (i *Injector) LoseResponse() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.occurs(&i.faults.LoseAnswers, i.faults.LoseRate)
+	return i.occurs(&i.faults.LoseResponses, i.faults.LoseResponseRate)
 }
 
 // Conflict reports whether the next write must be refused with a conflict. It
@@ -161,7 +161,7 @@
 // Wrap returns a handler that serves Path itself, and applies Delay and Down to
 // all other requests before it passes them to next.
 func (i *Injector) Wrap(next http.Handler) http.Handler {
-	faultsHandler := admin.Document(i.Faults, i.Set)
+	faultsHandler := admin.DocumentHandler(i.Faults, i.Set)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == Path {
 			faultsHandler.ServeHTTP(w, r)
@@ -173,7 +173,7 @@
 		case DownRefuse:
 			http.Error(w, "service unavailable", http.StatusServiceUnavailable)
 		case DownClose:
-			admin.Drop(w)
+			admin.CloseConnection(w)
 		case DownSilent:
 			// net/http notices a closed connection, and ends the context, only after
 			// the body was read.
--- a/pkg/standin/fault/fault_test.go
+++ b/pkg/standin/fault/fault_test.go
@@ -16,11 +16,11 @@
 		status       int
 		want         Faults
 	}{
-		{http.MethodPost, `{"delay":"5ms","lose_answers":2}`, http.StatusOK, Faults{Delay: 5e6, LoseAnswers: 2}},
-		{http.MethodPost, `{"delay":5}`, http.StatusBadRequest, Faults{Delay: 5e6, LoseAnswers: 2}},
-		{http.MethodPost, `{"lose_anwsers":2}`, http.StatusBadRequest, Faults{Delay: 5e6, LoseAnswers: 2}},
-		{http.MethodPut, `{}`, http.StatusMethodNotAllowed, Faults{Delay: 5e6, LoseAnswers: 2}},
-		{http.MethodGet, ``, http.StatusOK, Faults{Delay: 5e6, LoseAnswers: 2}},
+		{http.MethodPost, `{"delay":"5ms","lose_answers":2}`, http.StatusOK, Faults{Delay: 5e6, LoseResponses: 2}},
+		{http.MethodPost, `{"delay":5}`, http.StatusBadRequest, Faults{Delay: 5e6, LoseResponses: 2}},
+		{http.MethodPost, `{"lose_anwsers":2}`, http.StatusBadRequest, Faults{Delay: 5e6, LoseResponses: 2}},
+		{http.MethodPut, `{}`, http.StatusMethodNotAllowed, Faults{Delay: 5e6, LoseResponses: 2}},
+		{http.MethodGet, ``, http.StatusOK, Faults{Delay: 5e6, LoseResponses: 2}},
 		{http.MethodDelete, ``, http.StatusOK, Faults{}},
 	}
 	for _, c := range cases {
@@ -37,9 +37,9 @@
 func TestSeedReproducesFaults(t *testing.T) {
 	draw := func(seed uint64) (lost []bool) {
 		i := NewInjector()
-		i.Set(Faults{LoseRate: 0.5, Seed: seed})
+		i.Set(Faults{LoseResponseRate: 0.5, Seed: seed})
 		for range 64 {
-			lost = append(lost, i.LoseAnswer())
+			lost = append(lost, i.LoseResponse())
 		}
 		return lost
 	}
--- a/pkg/standin/internal/admin/admin.go
+++ b/pkg/standin/internal/admin/admin.go
@@ -7,9 +7,9 @@
 	"net/http"
 )
 
-// Document returns a handler that serves a value as JSON: GET returns it, POST
+// DocumentHandler returns a handler that serves a value as JSON: GET returns it, POST
 // replaces it, DELETE sets it to its zero value. Unknown fields are refused.
-func Document[T any](get func() T, set func(T)) http.Handler {
+func DocumentHandler[T any](get func() T, set func(T)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var v T
 		switch r.Method {
@@ -26,7 +26,7 @@
 			http.Error(w, "method not allowed", http.StatusMethodNotAllowed)
 			return
 		}
-		Answer(w, get())
+		WriteJSON(w, get())
 	})
 }
 
@@ -40,14 +40,14 @@
 	return nil
 }
 
-// Answer writes v as a JSON response with status 200.
-func Answer(w http.ResponseWriter, v any) {
+// WriteJSON writes v as a JSON response with status 200.
+func WriteJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected
 }
 
-// Drop closes the client's connection without completing the response.
-func Drop(w http.ResponseWriter) {
+// CloseConnection closes the client's connection without completing the response.
+func CloseConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler) // closes the connection as well
--- a/pkg/standin/target/faults.go
+++ b/pkg/standin/target/faults.go
@@ -32,8 +32,8 @@
 	Cross int `json:"cross,omitempty"`
 	// NoEcho omits the request ID from the header of responses.
 	NoEcho bool `json:"no_echo,omitempty"`
-	// LoseAnswers is how many of the next requests run without a response.
-	LoseAnswers int `json:"lose_answers,omitempty"`
+	// LoseResponses is how many of the next requests run without a response.
+	LoseResponses int `json:"lose_answers,omitempty"`
 	// Crash crashes the target immediately.
 	Crash bool `json:"crash,omitempty"`
 	// Restart restarts a crashed target.
@@ -79,8 +79,8 @@
 	case s.faults.Truncate > 0:
 		s.faults.Truncate--
 		f.truncate = true
-	case s.faults.LoseAnswers > 0:
-		s.faults.LoseAnswers--
+	case s.faults.LoseResponses > 0:
+		s.faults.LoseResponses--
 		f.lose = true
 	case s.faults.Cross > 0:
 		s.faults.Cross--
@@ -135,7 +135,7 @@
 
 func (s *Server) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	r := s.visibleReport(time.Now())
-	admin.Answer(w, struct {
+	admin.WriteJSON(w, struct {
 		Running int   `json:"running"`
 		Slots   int   `json:"slots"`
 		State   State `json:"state"`
--- a/pkg/standin/target/ledger.go
+++ b/pkg/standin/target/ledger.go
@@ -116,5 +116,5 @@
 }
 
 func (l *Ledger) serve(w http.ResponseWriter, _ *http.Request) {
-	admin.Answer(w, l.Record())
+	admin.WriteJSON(w, l.Record())
 }
--- a/pkg/standin/target/request.go
+++ b/pkg/standin/target/request.go
@@ -68,16 +68,16 @@
 	}
 	if requestScanner.markerSeen {
 		s.Crash()
-		admin.Drop(w)
+		admin.CloseConnection(w)
 		return
 	}
 	if err != nil || !s.waitServiceTime(r, req) {
 		ending = EndingCancelled
-		admin.Drop(w)
+		admin.CloseConnection(w)
 		return
 	}
 	if s.isCrashed() {
-		admin.Drop(w)
+		admin.CloseConnection(w)
 		return
 	}
 	// Release the slot before the caller has the response, since its next request
@@ -151,7 +151,7 @@
 // ended.
 func (s *Server) respond(w http.ResponseWriter, r *http.Request, f responseFault, size int64) Ending {
 	if f.lose {
-		admin.Drop(w)
+		admin.CloseConnection(w)
 		return EndingLost
 	}
 	id, ending := r.Header.Get(headerRequestID), EndingDone
@@ -174,7 +174,7 @@
 	if f.truncate {
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
-		admin.Drop(w)
+		admin.CloseConnection(w)
 		return EndingTruncated
 	}
 	_, _ = w.Write(body) // the caller may have disconnected
--- a/pkg/standin/target/target.go
+++ b/pkg/standin/target/target.go
@@ -111,11 +111,11 @@
 	mux.HandleFunc("/load", s.serveLoad)
 	mux.HandleFunc("/healthz", s.serveHealth)
 	mux.HandleFunc("/ledger", s.ledger.serve)
-	mux.Handle(fault.Path, admin.Document(s.Faults, s.SetFaults))
+	mux.Handle(fault.Path, admin.DocumentHandler(s.Faults, s.SetFaults))
 	mux.HandleFunc("/", s.serveRequest)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.isCrashed() && r.URL.Path != fault.Path && r.URL.Path != "/ledger" {
-			admin.Drop(w)
+			admin.CloseConnection(w)
 			return
 		}
 		mux.ServeHTTP(w, r)
--- a/pkg/standin/target/target_test.go
+++ b/pkg/standin/target/target_test.go
@@ -118,7 +118,7 @@
 	if _, _, err := send(t, server.URL, "r1", nil); err == nil {
 		t.Error("truncated response was read without an error")
 	}
-	s.SetFaults(Faults{LoseAnswers: 1})
+	s.SetFaults(Faults{LoseResponses: 1})
 	if _, _, err := send(t, server.URL, "r2", nil); err == nil {
 		t.Error("lost response arrived")
 	}
