--- a/pkg/cli/cli_test.go
+++ b/pkg/cli/cli_test.go
@@ -32,7 +32,7 @@
 	return config.Snapshot{Config: f.config, Fresh: true}
 }
 
-func (f *fakeFeed) Propose(_ context.Context, build feed.Build, expected int64) (int64, error) {
+func (f *fakeFeed) Propose(_ context.Context, build feed.BuildFunc, expected int64) (int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if expected > 0 && expected != f.config.Version {
--- a/pkg/config/change.go
+++ b/pkg/config/change.go
@@ -118,9 +118,9 @@
 	return append(found, untypedEdit{entity: Entity{Kind: kind, Name: e.Name}, op: e.Op, hasValue: e.Value != nil})
 }
 
-// Same reports whether the entity is the same in c and d. It compares pointers:
+// SameEntity reports whether the entity is the same in c and d. It compares pointers:
 // Apply keeps the pointer of every entity that a change does not edit.
-func (c *Config) Same(d *Config, e Entity) bool {
+func (c *Config) SameEntity(d *Config, e Entity) bool {
 	switch e.Kind {
 	case KindAccount:
 		return c.Accounts[e.Name] == d.Accounts[e.Name]
--- a/pkg/config/config.go
+++ b/pkg/config/config.go
@@ -84,7 +84,7 @@
 	// means all.
 	Host string `json:"host,omitempty"`
 	// Split divides the requests among several pools; it takes precedence over Pool.
-	Split []Part `json:"split,omitempty"`
+	Split []WeightedPool `json:"split,omitempty"`
 	// MaxAttempts is how many targets one request may be sent to; 0 means that
 	// only the retry budget limits it.
 	MaxAttempts int `json:"max_attempts,omitempty"`
@@ -102,8 +102,8 @@
 	Sticky bool `json:"sticky,omitempty"`
 }
 
-// Part gives a pool a weighted part of a route's requests.
-type Part struct {
+// WeightedPool gives a pool a weighted part of a route's requests.
+type WeightedPool struct {
 	Pool   string  `json:"pool"`
 	Weight float64 `json:"weight"`
 }
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -163,7 +163,7 @@
 	d.feed = feed.New(feed.Config{
 		Table: d.table, Objects: platform.NewObjects(store), Loop: d.loop, Clock: clock.System{}, Members: d.members,
 		Self: d.self, Peers: d.dialer, Log: d.log, Metrics: d.registry,
-		Freshness: s.Feed.FreshFor.Duration, Poll: s.Feed.Poll.Duration,
+		MaxAge: s.Feed.FreshFor.Duration, PollInterval: s.Feed.Poll.Duration,
 		RelayLease: s.Feed.RelayLease.Duration,
 	})
 }
--- a/pkg/daemon/status.go
+++ b/pkg/daemon/status.go
@@ -37,8 +37,8 @@
 		c.Age = durationpb.New(s.Age)
 	}
 	store := &operatorpb.StoreStatus{TableReachable: s.StoreReachable}
-	if s.SinceStore >= 0 {
-		store.SinceAnswer = durationpb.New(s.SinceStore)
+	if s.SinceStoreResponse >= 0 {
+		store.SinceAnswer = durationpb.New(s.SinceStoreResponse)
 	}
 	return c, store
 }
--- a/pkg/edge/operators.go
+++ b/pkg/edge/operators.go
@@ -27,7 +27,9 @@
 
 func (r readOnly) Snapshot() config.Snapshot { return r.d.Snapshot() }
 
-func (r readOnly) Propose(context.Context, feed.Build, int64) (int64, error) { return 0, errReadOnly }
+func (r readOnly) Propose(context.Context, feed.BuildFunc, int64) (int64, error) {
+	return 0, errReadOnly
+}
 
 func (r readOnly) History(context.Context, int64, int) ([]config.Change, error) {
 	return nil, errReadOnly
--- a/pkg/feed/consult.go
+++ b/pkg/feed/consult.go
@@ -75,7 +75,7 @@
 		}
 	}
 	askedAll := view.Complete && len(results) == len(view.Peers)
-	storeUnreachable := f.logReachability.unreachable(f.cfg.Clock.Now(), f.cfg.Freshness)
+	storeUnreachable := f.logReachability.unreachable(f.cfg.Clock.Now(), f.cfg.MaxAge)
 	s := f.state.Load()
 	if askedAll && storeUnreachable && provesNewest(s.version(), results) {
 		f.applyUpdate(update{version: s.version(), readAt: never, agreedAt: start})
--- a/pkg/feed/fake_fleet_test.go
+++ b/pkg/feed/fake_fleet_test.go
@@ -93,12 +93,12 @@
 
 // fastConfig scales the timings down, so that failures are detected sooner.
 var fastConfig = Config{
-	Freshness:   900 * time.Millisecond,
-	Poll:        100 * time.Millisecond,
-	ReadTimeout: 200 * time.Millisecond,
-	RelayLease:  500 * time.Millisecond,
-	PullWait:    100 * time.Millisecond,
-	PeerTimeout: 200 * time.Millisecond,
+	MaxAge:       900 * time.Millisecond,
+	PollInterval: 100 * time.Millisecond,
+	ReadTimeout:  200 * time.Millisecond,
+	RelayLease:   500 * time.Millisecond,
+	PullWait:     100 * time.Millisecond,
+	PeerTimeout:  200 * time.Millisecond,
 }
 
 func newFleet(t testing.TB, cfg Config, domains ...string) *fleet {
@@ -120,7 +120,7 @@
 	for _, v := range f.vms {
 		s := v.Status()
 		f.t.Logf("%s: version %d, age %s, store reachable %t, %s ago, table read %d times",
-			v.peer.ID, s.Version, s.Age, s.StoreReachable, s.SinceStore, v.table.reads.Load())
+			v.peer.ID, s.Version, s.Age, s.StoreReachable, s.SinceStoreResponse, v.table.reads.Load())
 	}
 }
 
--- a/pkg/feed/fault_test.go
+++ b/pkg/feed/fault_test.go
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Millisecond)
 	defer cancel()
 	v, err := f.Propose(ctx, createAccount(name), 0)
-	var u *UnknownError
+	var u *OutcomeUnknownError
 	switch {
 	case err == nil:
 		return accepted, v
--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -70,12 +70,12 @@
 	// Metrics receives the feed's metrics; nil drops them.
 	Metrics metrics.Registry
 
-	// Freshness bounds the age of a fresh configuration: the time since it was
+	// MaxAge bounds the age of a fresh configuration: the time since it was
 	// known to be the newest. Keyed routes are served only while the
 	// configuration is fresh. Default 3 s.
-	Freshness time.Duration
-	// Poll is the interval between periodic reads of the store; default 500 ms.
-	Poll time.Duration
+	MaxAge time.Duration
+	// PollInterval is the interval between periodic reads of the store; default 500 ms.
+	PollInterval time.Duration
 	// ReadTimeout bounds a periodic read of the store; default 700 ms. A
 	// store slower than that counts as unreachable.
 	ReadTimeout time.Duration
@@ -95,8 +95,8 @@
 }
 
 func (c Config) withDefaults() Config {
-	setDefault(&c.Freshness, defaultMaxAge)
-	setDefault(&c.Poll, defaultPollInterval)
+	setDefault(&c.MaxAge, defaultMaxAge)
+	setDefault(&c.PollInterval, defaultPollInterval)
 	setDefault(&c.ReadTimeout, defaultReadTimeout)
 	setDefault(&c.SnapshotEvery, defaultSnapshotEvery)
 	setDefault(&c.RelayLease, defaultRelayLease)
@@ -166,14 +166,14 @@
 	_ = f.cfg.Metrics.Register("feed.age_ms", metrics.NewFunctionalGauge(func() int64 {
 		return f.Status().Age.Milliseconds()
 	}))
-	f.fallbackAge = fraction(f.cfg.Freshness, fallbackAgeMin+rand.Float64()*(fallbackAgeMax-fallbackAgeMin))
+	f.fallbackAge = fraction(f.cfg.MaxAge, fallbackAgeMin+rand.Float64()*(fallbackAgeMax-fallbackAgeMin))
 	return f
 }
 
 // Start follows the configuration in the background until ctx ends.
 func (f *Feed) Start(ctx context.Context) {
 	f.nextRead, f.nextCampaign = f.cfg.Clock.Now(), f.cfg.Clock.Now()
-	f.cfg.Loop.Every(ctx, f.cfg.Poll/stepsPerPoll, func() { f.step(ctx) })
+	f.cfg.Loop.Every(ctx, f.cfg.PollInterval/stepsPerPoll, func() { f.step(ctx) })
 	f.cfg.Loop.Go(ctx, f.follow)
 }
 
@@ -194,12 +194,12 @@
 		readAge:      now.Sub(s.readAt),
 		age:          s.age(now),
 		fallbackAge:  f.fallbackAge,
-		maxAge:       f.cfg.Freshness,
+		maxAge:       f.cfg.MaxAge,
 		nextRead:     f.nextRead,
 		nextCampaign: f.nextCampaign,
 	})
 	if d.read {
-		f.nextRead = now.Add(f.cfg.Poll)
+		f.nextRead = now.Add(f.cfg.PollInterval)
 		f.startRead(ctx)
 	}
 	if d.campaign && !f.campaigning {
@@ -242,7 +242,7 @@
 	if s.config == nil {
 		return config.Snapshot{Config: emptyConfig}
 	}
-	return config.Snapshot{Config: s.config, Fresh: s.age(f.cfg.Clock.Now()) <= f.cfg.Freshness}
+	return config.Snapshot{Config: s.config, Fresh: s.age(f.cfg.Clock.Now()) <= f.cfg.MaxAge}
 }
 
 var emptyConfig = config.Empty()
@@ -333,9 +333,9 @@
 	// StoreReachable reports whether the store responded to the newest attempt
 	// to read it.
 	StoreReachable bool
-	// SinceStore is the time since the store last responded; negative if it
+	// SinceStoreResponse is the time since the store last responded; negative if it
 	// never did.
-	SinceStore time.Duration
+	SinceStoreResponse time.Duration
 }
 
 // Status returns the current status.
@@ -344,12 +344,12 @@
 	s := f.state.Load()
 	reachable, last := combinedStatus(f.logReachability, f.leaseReachability)
 	return Status{
-		Version:        s.version(),
-		Age:            elapsed(now, s.knownNewestAt()),
-		Fresh:          s.age(now) <= f.cfg.Freshness,
-		Relay:          f.relay.Load().row.ID,
-		StoreReachable: reachable,
-		SinceStore:     elapsed(now, last),
+		Version:            s.version(),
+		Age:                elapsed(now, s.knownNewestAt()),
+		Fresh:              s.age(now) <= f.cfg.MaxAge,
+		Relay:              f.relay.Load().row.ID,
+		StoreReachable:     reachable,
+		SinceStoreResponse: elapsed(now, last),
 	}
 }
 
--- a/pkg/feed/fleet_test.go
+++ b/pkg/feed/fleet_test.go
@@ -32,7 +32,7 @@
 	return key.ID, text
 }
 
-func withdraw(id string) Build {
+func withdraw(id string) BuildFunc {
 	return func(*config.Config) (config.Change, error) {
 		return config.Change{Action: config.Action{Key: config.Delete[config.Key](id)}}, nil
 	}
@@ -73,7 +73,7 @@
 // domains, not of VMs.
 func TestFleetOnlyRelaysRead(t *testing.T) {
 	cfg := fastConfig
-	cfg.Freshness = time.Minute // keeps the followers from reading the store on a slow machine
+	cfg.MaxAge = time.Minute // keeps the followers from reading the store on a slow machine
 	f := newFleet(t, cfg, "a", "a", "a", "b", "b", "b")
 	relays := func() (n int) {
 		for _, v := range f.vms {
@@ -163,7 +163,7 @@
 	eventually(t, "in force there", func() bool { return hasVersion(n)(f.vms[1]) })
 	eventually(t, "read by others only", func() bool {
 		st := f.vms[1].Status()
-		return !st.StoreReachable && st.SinceStore > 2*fastConfig.Freshness && st.Fresh
+		return !st.StoreReachable && st.SinceStoreResponse > 2*fastConfig.MaxAge && st.Fresh
 	})
 }
 
@@ -177,7 +177,7 @@
 	f.start()
 	eventually(t, "read by others only", func() bool {
 		st := f.vms[1].Status()
-		return !st.StoreReachable && st.SinceStore > 2*fastConfig.Freshness && st.Fresh
+		return !st.StoreReachable && st.SinceStoreResponse > 2*fastConfig.MaxAge && st.Fresh
 	})
 }
 
@@ -189,7 +189,7 @@
 	eventually(t, "in force there", func() bool { return hasVersion(n)(f.vms[1]) })
 	reads := f.vms[1].table.reads.Load()
 	eventually(t, "fresh by its own reads, past the bound", func() bool {
-		return f.vms[1].table.reads.Load() > reads+2*int64(fastConfig.Freshness/fastConfig.Poll) && fresh(f.vms[1])
+		return f.vms[1].table.reads.Load() > reads+2*int64(fastConfig.MaxAge/fastConfig.PollInterval) && fresh(f.vms[1])
 	})
 }
 
@@ -203,7 +203,7 @@
 	f.store.set(func(s *fakeStore) { s.down = true })
 	eventually(t, "keys work by agreement", f.every(func(v *vm) bool {
 		st := v.Status()
-		return st.SinceStore > 2*fastConfig.Freshness && reason(v, text) == ""
+		return st.SinceStoreResponse > 2*fastConfig.MaxAge && reason(v, text) == ""
 	}))
 	f.vms[2].partitioned.Store(true)
 	eventually(t, "stale while one VM is silent", f.every(func(v *vm) bool {
@@ -225,7 +225,7 @@
 		v.table.delay.Store(int64(2 * fastConfig.ReadTimeout))
 	}
 	eventually(t, "keys work by agreement", f.every(func(v *vm) bool {
-		return v.Status().SinceStore > 2*fastConfig.Freshness && reason(v, text) == ""
+		return v.Status().SinceStoreResponse > 2*fastConfig.MaxAge && reason(v, text) == ""
 	}))
 	n := mustPropose(t, f.vms[1].Feed, createAccount("slow"))
 	eventually(t, "in force everywhere", f.every(hasVersion(n)))
--- a/pkg/feed/inforce_bench_test.go
+++ b/pkg/feed/inforce_bench_test.go
@@ -52,19 +52,19 @@
 	for _, s := range topologies {
 		b.Run(s.name+"/push", func(b *testing.B) {
 			f := s.start(b, Config{})
-			measure(b, f, func(i int, build Build) int64 { return mustPropose(b, f.vms[i%11].Feed, build) })
+			measure(b, f, func(i int, build BuildFunc) int64 { return mustPropose(b, f.vms[i%11].Feed, build) })
 		})
 		b.Run(s.name+"/relays", func(b *testing.B) {
 			f := s.start(b, Config{})
 			outside := newStoreFeed(b, f.store)
-			measure(b, f, func(_ int, build Build) int64 { return mustPropose(b, outside, build) })
+			measure(b, f, func(_ int, build BuildFunc) int64 { return mustPropose(b, outside, build) })
 		})
 	}
 }
 
 // measure reports quantiles of the time from a proposal until all VMs have its
 // change in force.
-func measure(b *testing.B, f *fleet, propose func(int, Build) int64) {
+func measure(b *testing.B, f *fleet, propose func(int, BuildFunc) int64) {
 	h := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 	for i := range b.N {
 		// Spread the changes over the phases of the polls.
--- a/pkg/feed/propose.go
+++ b/pkg/feed/propose.go
@@ -39,30 +39,30 @@
 	return fmt.Sprintf("%s; the configuration is at version %d", e.Reason, e.Current)
 }
 
-// UnknownError reports a change whose write may or may not have taken effect.
+// OutcomeUnknownError reports a change whose write may or may not have taken effect.
 // The history shows whether the change of that version has this ID.
-type UnknownError struct {
+type OutcomeUnknownError struct {
 	ID      uuid.UUID
 	Version int64
 	Err     error
 }
 
-func (e *UnknownError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("outcome unknown: change %s may have made version %d: %v", e.ID, e.Version, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *UnknownError) Unwrap() error { return e.Err }
+func (e *OutcomeUnknownError) Unwrap() error { return e.Err }
 
-// Build makes a change to a configuration. Propose fills in the change's ID,
+// BuildFunc makes a change to a configuration. Propose fills in the change's ID,
 // version and time. It may be called several times for one proposal.
-type Build func(*config.Config) (config.Change, error)
+type BuildFunc func(*config.Config) (config.Change, error)
 
 // Propose makes a change to the newest configuration, appends it to the log and
 // puts it in force on this VM. It returns the version of the change. If expected
 // is above 0, the configuration must be at that version. Errors: those of build
-// and config.Apply, *ConflictError, *UnknownError, storage.ErrUnavailable.
-func (f *Feed) Propose(ctx context.Context, build Build, expected int64) (int64, error) {
+// and config.Apply, *ConflictError, *OutcomeUnknownError, storage.ErrUnavailable.
+func (f *Feed) Propose(ctx context.Context, build BuildFunc, expected int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	select {
@@ -96,7 +96,7 @@
 
 // run retries the change on newer versions until it is in the log, and returns
 // its version.
-func (p *proposal) run(ctx context.Context, build Build) (int64, error) {
+func (p *proposal) run(ctx context.Context, build BuildFunc) (int64, error) {
 	delays := newBackOff()
 	for range maxProposeAttempts {
 		e, err := p.prepare(build)
@@ -120,7 +120,7 @@
 }
 
 // prepare builds, validates and encodes the change.
-func (p *proposal) prepare(build Build) (entry, error) {
+func (p *proposal) prepare(build BuildFunc) (entry, error) {
 	ch, err := build(p.newest)
 	if err != nil {
 		return entry{}, err
@@ -177,7 +177,7 @@
 		p.feed.logReachability.recordFailure(start)
 		if !sleep(ctx, delays.NextBackOff()) {
 			p.feed.meters.unknownOutcomes.Inc(1)
-			return false, &UnknownError{ID: p.id, Version: e.change.Version, Err: err}
+			return false, &OutcomeUnknownError{ID: p.id, Version: e.change.Version, Err: err}
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	if p.noRebase {
 		return &ConflictError{Current: newest.Version, Reason: fmt.Sprintf("expected version %d", p.base.Version)}
 	}
-	if !p.base.Same(newest, subject) {
+	if !p.base.SameEntity(newest, subject) {
 		return &ConflictError{Current: newest.Version, Reason: fmt.Sprintf("%v changed meanwhile", subject)}
 	}
 	return nil
--- a/pkg/feed/propose_test.go
+++ b/pkg/feed/propose_test.go
@@ -13,7 +13,7 @@
 )
 
 // createAccount returns a Build that creates an account.
-func createAccount(name string) Build {
+func createAccount(name string) BuildFunc {
 	return func(*config.Config) (config.Change, error) {
 		a := config.Account{Name: name, Rate: 1, Burst: 1, Weight: 1}
 		return config.Change{Action: config.Action{Account: config.Create(name, a)}}, nil
@@ -22,7 +22,7 @@
 
 // setRate returns a Build that sets the rate of an account and keeps its other
 // fields.
-func setRate(name string, rate float64) Build {
+func setRate(name string, rate float64) BuildFunc {
 	return func(c *config.Config) (config.Change, error) {
 		a := config.Account{Name: name, Burst: 1, Weight: 1}
 		if current := c.Accounts[name]; current != nil {
@@ -37,7 +37,7 @@
 	return newFeed(t, Config{Table: s, Objects: objectStore{s}})
 }
 
-func mustPropose(t testing.TB, f *Feed, b Build) int64 {
+func mustPropose(t testing.TB, f *Feed, b BuildFunc) int64 {
 	t.Helper()
 	v, err := f.Propose(context.Background(), b, 0)
 	if err != nil {
@@ -232,7 +232,7 @@
 		}
 	})
 	_, err := f.Propose(ctx, createAccount("b"), 0)
-	var unknown *UnknownError
+	var unknown *OutcomeUnknownError
 	if !errors.As(err, &unknown) || unknown.Version != 2 {
 		t.Fatalf("lost response, then down: %v", err)
 	}
--- a/pkg/feed/server.go
+++ b/pkg/feed/server.go
@@ -48,7 +48,7 @@
 		return nil, twirp.InternalErrorWith(err)
 	}
 	relay := f.relay.Load()
-	resp.StoreUnreachable = f.logReachability.unreachable(now, f.cfg.Freshness)
+	resp.StoreUnreachable = f.logReachability.unreachable(now, f.cfg.MaxAge)
 	resp.RelayId = relay.row.ID
 	resp.RelayIncarnation = relay.row.Incarnation
 	resp.RelayAddress = relay.row.Address
--- a/pkg/ingress/server_test.go
+++ b/pkg/ingress/server_test.go
@@ -427,7 +427,7 @@
 // TestSplit checks that each pool gets its share of the requests even if one object has half of
 // them.
 func TestSplit(t *testing.T) {
-	s := newSplitter([]config.Part{{Pool: "a", Weight: 90}, {Pool: "b", Weight: 10}})
+	s := newSplitter([]config.WeightedPool{{Pool: "a", Weight: 90}, {Pool: "b", Weight: 10}})
 	counts := map[string]int{}
 	const requests = 2000
 	for i := range requests {
--- a/pkg/ingress/split.go
+++ b/pkg/ingress/split.go
@@ -17,7 +17,7 @@
 // splitter divides a route's requests among pools in proportion to their weights. Apart from the
 // slack, the division is exact on each VM and therefore over the fleet.
 type splitter struct {
-	parts []config.Part
+	parts []config.WeightedPool
 	total float64 // of the weights
 
 	mu     sync.Mutex
@@ -25,7 +25,7 @@
 	counts []float64
 }
 
-func newSplitter(parts []config.Part) *splitter {
+func newSplitter(parts []config.WeightedPool) *splitter {
 	s := &splitter{parts: parts, counts: make([]float64, len(parts))}
 	for _, p := range parts {
 		s.total += max(0, p.Weight)
@@ -33,7 +33,7 @@
 	return s
 }
 
-func (s *splitter) sameParts(parts []config.Part) bool { return slices.Equal(s.parts, parts) }
+func (s *splitter) sameParts(parts []config.WeightedPool) bool { return slices.Equal(s.parts, parts) }
 
 // choose returns the pool for a request that concerns an object.
 func (s *splitter) choose(object uint64) string {
@@ -56,7 +56,7 @@
 	return s.parts[chosen].Pool
 }
 
-func (s *splitter) share(p config.Part) float64 {
+func (s *splitter) share(p config.WeightedPool) float64 {
 	if s.total <= 0 {
 		return 1 / float64(len(s.parts))
 	}
--- a/pkg/operator/server.go
+++ b/pkg/operator/server.go
@@ -25,7 +25,7 @@
 type Feed interface {
 	Ready() bool
 	Snapshot() config.Snapshot
-	Propose(ctx context.Context, build feed.Build, expected int64) (int64, error)
+	Propose(ctx context.Context, build feed.BuildFunc, expected int64) (int64, error)
 	History(ctx context.Context, before int64, limit int) ([]config.Change, error)
 }
 
--- a/pkg/operator/server_test.go
+++ b/pkg/operator/server_test.go
@@ -29,7 +29,7 @@
 
 func (f *fakeFeed) Snapshot() config.Snapshot { return config.Snapshot{Config: f.config, Fresh: true} }
 
-func (f *fakeFeed) Propose(_ context.Context, build feed.Build, _ int64) (int64, error) {
+func (f *fakeFeed) Propose(_ context.Context, build feed.BuildFunc, _ int64) (int64, error) {
 	if f.err != nil {
 		return 0, f.err
 	}
@@ -92,7 +92,7 @@
 		meta               map[string]any
 	}{
 		{"conflict", "Accounts/Create", create, &feed.ConflictError{Current: 7}, "aborted", map[string]any{MetaCurrentVersion: "7"}},
-		{"unknown outcome", "Accounts/Create", create, &feed.UnknownError{ID: id, Version: 8, Err: storage.ErrIndeterminate},
+		{"unknown outcome", "Accounts/Create", create, &feed.OutcomeUnknownError{ID: id, Version: 8, Err: storage.ErrIndeterminate},
 			"unavailable", map[string]any{MetaOutcome: OutcomeUnknown, MetaChangeID: id.String(), MetaVersion: "8"}},
 		{"store unavailable", "Accounts/Create", create, fmt.Errorf("write: %w", storage.ErrUnavailable),
 			"unavailable", map[string]any{MetaOutcome: OutcomeNotRun}},
--- a/pkg/operator/writer.go
+++ b/pkg/operator/writer.go
@@ -87,7 +87,7 @@
 // are redacted from its text.
 func toTwirp(err error) error {
 	var conflict *feed.ConflictError
-	var unknown *feed.UnknownError
+	var unknown *feed.OutcomeUnknownError
 	var field *config.FieldError
 	var te twirp.Error
 	message := keys.Redact(err.Error())
