--- a/pkg/limit/book.go
+++ b/pkg/limit/book.go
@@ -95,8 +95,8 @@
 	peerDemand map[string]float64
 	// underLowLoad reports that the load is low, so that every VM keeps a part of its share.
 	underLowLoad bool
-	// startedParts is the number of parts that start tokens were given for.
-	startedParts int
+	// startedSlots is the number of slots that start tokens were given for.
+	startedSlots int
 	// want is the share that suits the VM's own demand best.
 	want   share
 	nextID func() uint64
@@ -126,31 +126,31 @@
 		next = share{validAmount(a.Rate), validAmount(a.Burst)}
 	}
 	if b.started && next != b.limit {
-		b.setParts(partsOf(b.limit, h), now)
+		b.setSlotShares(slotSharesOf(b.limit, h), now)
 	}
 	b.limit, b.maxShare = next, next
-	b.setParts(partsOf(next, h), now)
+	b.setSlotShares(slotSharesOf(next, h), now)
 }
 
-// partsOf returns the held slots' parts of a limit. A slot with a previous holder becomes valid
-// once the loans of that holder have ended.
-func partsOf(limit share, h *lease.Holding) []part {
+// slotSharesOf returns the shares of a limit that belong to the held slots. The share of a slot with
+// a previous holder becomes valid once the loans of that holder have ended.
+func slotSharesOf(limit share, h *lease.Holding) []slotShare {
 	n := float64(max(1, h.Total))
 	each := share{limit.rate / n, limit.capacity / n}
-	parts := make([]part, len(h.Slots))
+	slotShares := make([]slotShare, len(h.Slots))
 	for i, s := range h.Slots {
-		parts[i] = part{share: each, from: s.Since, until: s.Until, kept: s.Kept}
+		slotShares[i] = slotShare{share: each, from: s.Since, until: s.Until, kept: s.Kept}
 		if !s.New {
-			parts[i].from = s.Since.Add(loanDrainTime)
+			slotShares[i].from = s.Since.Add(loanDrainTime)
 		}
 	}
-	return parts
+	return slotShares
 }
 
-// addStartTokens adds start tokens for each part held, once per part.
+// addStartTokens adds the given number of start tokens for each held slot, once per slot.
 func (b *budget) addStartTokens(each float64) {
-	if more := len(b.parts) - b.startedParts; more > 0 {
-		b.startedParts = len(b.parts)
+	if more := len(b.slotShares) - b.startedSlots; more > 0 {
+		b.startedSlots = len(b.slotShares)
 		b.tokens = min(b.net.capacity, b.tokens+float64(more)*validAmount(each))
 	}
 }
--- a/pkg/limit/exchange.go
+++ b/pkg/limit/exchange.go
@@ -73,6 +73,7 @@
 	return out
 }
 
+// collectFrom makes exchanges with one peer until there are no loans to return to it.
 func (s *Service) collectFrom(ctx context.Context, p member.Peer, accounts []*account) {
 	for again := true; again; {
 		again = s.collectOnce(ctx, p, accounts)
@@ -89,8 +90,8 @@
 		return false
 	}
 	s.collections.Inc(1)
-	answers := s.exchange(ctx, p, requests)
-	s.applyResponses(requests, answers, func(a *account, q *peerpb.AccountRequest, r *peerpb.AccountResponse) {
+	responses := s.exchange(ctx, p, requests)
+	s.applyResponses(requests, responses, func(a *account, q *peerpb.AccountRequest, r *peerpb.AccountResponse) {
 		if a.budget.handleCollectResponse(q, r, p.Incarnation, now, s.cfg.Clock.Now()) {
 			again = true
 		}
@@ -131,8 +132,8 @@
 	if len(requests) == 0 {
 		return
 	}
-	answers := s.exchange(ctx, home, requests)
-	s.applyResponses(requests, answers, func(a *account, _ *peerpb.AccountRequest, r *peerpb.AccountResponse) {
+	responses := s.exchange(ctx, home, requests)
+	s.applyResponses(requests, responses, func(a *account, _ *peerpb.AccountRequest, r *peerpb.AccountResponse) {
 		a.budget.applyResponse(demandLoan, r, home.Incarnation, now, s.cfg.Clock.Now())
 	})
 }
@@ -151,14 +152,14 @@
 }
 
 // applyResponses applies each response to its account.
-func (s *Service) applyResponses(requests []*peerpb.AccountRequest, answers map[string]*peerpb.AccountResponse,
-	accept func(*account, *peerpb.AccountRequest, *peerpb.AccountResponse)) {
+func (s *Service) applyResponses(requests []*peerpb.AccountRequest, responses map[string]*peerpb.AccountResponse,
+	apply func(*account, *peerpb.AccountRequest, *peerpb.AccountResponse)) {
 	accounts := *s.accounts.Load()
 	for _, q := range requests {
-		a, r := accounts[q.Account], answers[q.Account]
+		a, r := accounts[q.Account], responses[q.Account]
 		if a != nil && r != nil {
 			a.mu.Lock()
-			accept(a, q, r)
+			apply(a, q, r)
 			a.mu.Unlock()
 		}
 	}
--- a/pkg/limit/faults_test.go
+++ b/pkg/limit/faults_test.go
@@ -122,9 +122,9 @@
 	// The shares that the frozen home borrowed return to their lenders when the loans end.
 	l.waitFor(t, "home frozen", 20, others...)
 	faults[home].frozen.Store(false)
-	l.waitFor(t, "home back", 20, 0, 1, 2)
+	l.waitFor(t, "home recovered", 20, 0, 1, 2)
 	faults[others[0]].lossy.Store(true)
-	l.waitFor(t, "answers lost", 50, home)
+	l.waitFor(t, "responses lost", 50, home)
 	faults[others[0]].lossy.Store(false)
 
 	for _, s := range all {
@@ -151,13 +151,13 @@
 // checkUntil checks the admissions between from and to.
 func (l *load) checkUntil(t *testing.T, from, to time.Time, limit config.Account) {
 	t.Helper()
-	part := &load{}
+	within := &load{}
 	for _, list := range l.admitted {
-		part.admitted = append(part.admitted, slices.DeleteFunc(slices.Clone(list), func(a admission) bool {
+		within.admitted = append(within.admitted, slices.DeleteFunc(slices.Clone(list), func(a admission) bool {
 			return a.before.After(to)
 		}))
 	}
-	part.check(t, from, limit)
+	within.check(t, from, limit)
 }
 
 // TestReleaseReturnsLoans checks that a home that stops returns the shares that it collected.
--- a/pkg/limit/home.go
+++ b/pkg/limit/home.go
@@ -20,8 +20,8 @@
 }
 
 // home returns the home of the account: the VM that collects its idle shares. Live VMs of the
-// preferred region come first. VMs with different views may choose different homes; that can refuse
-// requests wrongly, but never admits too many. It returns false if no VM is live.
+// preferred region come first. VMs with different views may choose different homes; then requests
+// may be refused wrongly, but never too many are admitted. It returns false if no VM is live.
 func (s *Service) home(account string) (member.Peer, bool) {
 	view := s.cfg.Members.View()
 	preferred := ""
@@ -49,8 +49,8 @@
 	return home, found
 }
 
-// Homes returns the IDs of the live VMs, sorted by how likely they hold tokens of the account, the
-// likeliest first.
+// Homes ranks all live VMs as homes of the account and returns their IDs. The first is the home if
+// no region is preferred; the earlier a VM is in the list, the likelier it holds tokens.
 func (s *Service) Homes(account string) []string {
 	view := s.cfg.Members.View()
 	var ids []string
--- a/pkg/limit/ledger.go
+++ b/pkg/limit/ledger.go
@@ -51,11 +51,11 @@
 	return s.rate <= o.rate*(1+rounding) && s.capacity <= o.capacity*(1+rounding)
 }
 
-// part is the share that belongs to a held slot, valid in [from, until).
-type part struct {
+// slotShare is the share of the limit that belongs to a held slot. It is valid in [from, until).
+type slotShare struct {
 	share
 	from, until clock.Time
-	// kept parts are never lent.
+	// kept shares are never lent.
 	kept bool
 }
 
@@ -91,25 +91,25 @@
 	duration time.Duration
 }
 
-// ledger is one VM's part of one client account's limit: a token bucket. Its rate and capacity are
-// the shares of the VM's slots, less what it lent, plus what it borrowed. A share or token that
-// moves is in at most one ledger at a time. So the capacities of all ledgers never sum to more than
-// the burst, nor their rates to more than the limit's rate, and the fleet admits at most burst +
-// rate*t requests in any window of length t.
+// ledger is one VM's token bucket for one client account. Its rate and capacity are the shares of
+// the VM's slots, less what the VM lent, plus what it borrowed. A share or token that moves is in at
+// most one ledger at a time. So the capacities of all ledgers never sum to more than the burst, nor
+// their rates to more than the limit's rate, and the fleet admits at most burst + rate*t requests in
+// any window of length t.
 //
 // A ledger has no clock. The now passed to its methods must never decrease.
 type ledger struct {
-	parts    []part
-	lent     []loan
-	borrowed []loan
-	tokens   float64
+	slotShares []slotShare
+	lent       []loan
+	borrowed   []loan
+	tokens     float64
 	// started reports that the slots' shares have been set once.
 	started bool
 	// maxShare is the account's whole limit, or zero for none. It caps the bucket after the limit
 	// was lowered, while larger loans still run.
 	maxShare share
-	// updated is the time at which tokens was computed. net is constant from updated until
-	// nextChange.
+	// updated is the time at which tokens was computed. net is the bucket's rate and capacity; it
+	// is constant from updated until nextChange.
 	updated    clock.Time
 	nextChange clock.Time
 	net        share
@@ -141,7 +141,7 @@
 	l.borrowed = slices.DeleteFunc(l.borrowed, ended)
 	l.nextChange = never
 	net := l.own(l.updated)
-	for _, p := range l.parts {
+	for _, p := range l.slotShares {
 		l.changeAt(p.from)
 		l.changeAt(p.until)
 	}
@@ -167,12 +167,12 @@
 }
 
 // valid reports whether the part may be used at t.
-func (p part) valid(t clock.Time) bool { return !t.Before(p.from) && t.Before(p.until) }
+func (p slotShare) valid(t clock.Time) bool { return !t.Before(p.from) && t.Before(p.until) }
 
 // own returns the share of the slots that are valid at t.
 func (l *ledger) own(t clock.Time) share {
 	var sum share
-	for _, p := range l.parts {
+	for _, p := range l.slotShares {
 		if p.valid(t) {
 			sum = sum.plus(p.share)
 		}
@@ -183,21 +183,21 @@
 // setParts replaces the shares of the slots. New slots bring no tokens, because the previous holder
 // may have spent them. A ledger that starts gets the tokens that its slots accrued since they
 // became valid, as no other VM had them.
-func (l *ledger) setParts(parts []part, now clock.Time) {
+func (l *ledger) setSlotShares(slotShares []slotShare, now clock.Time) {
 	l.advance(now)
-	l.parts = parts
+	l.slotShares = slotShares
 	l.recompute()
 	if !l.started {
 		l.started = true
-		l.tokens = accruedTokens(parts, now)
+		l.tokens = accruedTokens(slotShares, now)
 	}
 }
 
-// accruedTokens returns the tokens in the buckets of the parts at now if all were empty when the
-// parts became valid.
-func accruedTokens(parts []part, now clock.Time) float64 {
+// accruedTokens returns the tokens that the slots' shares have accrued at now, if they had none when
+// they became valid.
+func accruedTokens(slotShares []slotShare, now clock.Time) float64 {
 	sum := 0.0
-	for _, p := range parts {
+	for _, p := range slotShares {
 		if p.from.Before(now) && now.Before(p.until) {
 			sum += min(p.capacity, p.rate*now.Sub(p.from).Seconds())
 		}
@@ -239,7 +239,7 @@
 // excludes kept slots and borrowed loans that end before t.
 func (l *ledger) guaranteed(t clock.Time) share {
 	var sum share
-	for _, p := range l.parts {
+	for _, p := range l.slotShares {
 		if !p.kept && p.valid(l.updated) {
 			sum = sum.plus(p.share)
 		}
--- a/pkg/limit/ledger_test.go
+++ b/pkg/limit/ledger_test.go
@@ -17,7 +17,7 @@
 // newLedger returns a ledger with a full bucket whose share is valid from t=0.
 func newLedger(s share) *ledger {
 	l := &ledger{}
-	l.setParts([]part{{share: s, until: never}}, 0)
+	l.setSlotShares([]slotShare{{share: s, until: never}}, 0)
 	l.tokens = s.capacity
 	return l
 }
@@ -49,7 +49,7 @@
 	if !l.extend(g.id, "home", collectDuration, at(time.Second)) {
 		t.Fatal("not extended under the same limit")
 	}
-	l.setParts([]part{{share: share{1, 1}, until: never}}, at(2*time.Second))
+	l.setSlotShares([]slotShare{{share: share{1, 1}, until: never}}, at(2*time.Second))
 	if l.extend(g.id, "home", collectDuration, at(2*time.Second)) {
 		t.Error("extended beyond the lowered share")
 	}
@@ -152,7 +152,7 @@
 // because the next holder of the slot waits for the loan to end.
 func TestLendsPastItsLease(t *testing.T) {
 	l := &ledger{}
-	l.setParts([]part{{share: share{10, 4}, until: at(2 * time.Second)}}, 0)
+	l.setSlotShares([]slotShare{{share: share{10, 4}, until: at(2 * time.Second)}}, 0)
 	if _, ok := l.lend(1, "home", collectLoan, share{10, 4}, 4, collectDuration, at(time.Second)); !ok {
 		t.Error("nothing lent under a lease of 2 s")
 	}
@@ -168,7 +168,7 @@
 // full bucket, one that was just taken over has none.
 func TestNewAccountHasItsBurst(t *testing.T) {
 	l := &ledger{}
-	l.setParts([]part{
+	l.setSlotShares([]slotShare{
 		{share: share{10, 4}, from: at(time.Minute), until: never},
 		{share: share{10, 4}, from: at(time.Hour - 100*time.Millisecond), until: never},
 		{share: share{10, 4}, from: at(2 * time.Hour), until: never},
@@ -177,9 +177,9 @@
 	if l.tokens != 4+1 {
 		t.Errorf("%g tokens, want 4 and 1", l.tokens)
 	}
-	l.setParts([]part{{share: share{10, 4}, from: 0, until: never}}, at(time.Hour))
+	l.setSlotShares([]slotShare{{share: share{10, 4}, from: 0, until: never}}, at(time.Hour))
 	l.tokens = 0
-	l.setParts([]part{{share: share{10, 4}, from: 0, until: never}}, at(time.Hour))
+	l.setSlotShares([]slotShare{{share: share{10, 4}, from: 0, until: never}}, at(time.Hour))
 	if l.tokens != 0 {
 		t.Errorf("%g tokens were added by a change of the slots", l.tokens)
 	}
@@ -212,7 +212,7 @@
 		for rate := 0.3; rate < 40; rate += 0.7 {
 			each := share{rate / float64(2*vms), (rate + 3) / float64(2*vms)}
 			l := &ledger{}
-			l.setParts([]part{{share: each, until: never}, {share: each, until: never}}, now)
+			l.setSlotShares([]slotShare{{share: each, until: never}, {share: each, until: never}}, now)
 			own := l.own(now)
 			third := share{own.rate / 3, own.capacity / 3}
 			for id, want := range []share{third, own.minus(third), own} {
@@ -262,7 +262,7 @@
 	home := newBudget("a", func() uint64 { return 1 })
 	home.home = true
 	home.limit = share{rate: 1, capacity: 8}
-	home.setParts([]part{{share: home.limit, until: never}}, now)
+	home.setSlotShares([]slotShare{{share: home.limit, until: never}}, now)
 	home.tokens = 5.5
 	if home.admit(0, half, now) != stepAdmit || home.admit(0, half, now) != stepRefuse {
 		t.Errorf("half of 8 tokens must be left; %v are left", home.tokens)
--- a/pkg/limit/serve.go
+++ b/pkg/limit/serve.go
@@ -68,6 +68,7 @@
 	return b.lentToHome().rate > b.idle(now).rate+b.own(now).rate*minLendFraction
 }
 
+// grantIdle lends the idle share to the home, unless it is too small to be worth a loan.
 func (b *budget) grantIdle(out *peerpb.AccountResponse, peer string, now clock.Time) {
 	own := b.own(now)
 	more := b.idle(now).minus(b.lentToHome()).positive()
@@ -96,6 +97,7 @@
 	}
 }
 
+// grantTokens lends up to n tokens. If it has none to lend, it says when to ask again.
 func (b *budget) grantTokens(out *peerpb.AccountResponse, n, reserve float64, d time.Duration, peer string, now clock.Time) {
 	d = max(0, min(tokenDuration, d))
 	g, ok := b.lendTokens(b.nextID(), peer, n, reserve, d, now)
--- a/pkg/limit/service.go
+++ b/pkg/limit/service.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// collectTimeout is the timeout of a collection.
+	// collectTimeout is the timeout of one call of collectAll.
 	collectTimeout = collectDuration / 2
 	// releasePause is the time between attempts to return borrowed shares.
 	releasePause = 100 * time.Millisecond
@@ -48,8 +48,8 @@
 	// Prefetch makes VMs request the token of the next request in advance from a distant home. It
 	// suits limits so small that each request takes a token from the home.
 	Prefetch bool
-	// PreferredRegion returns the region whose VMs are preferred as an account's home, or "" for none. If Near
-	// is nil, no region is preferred.
+	// PreferredRegion returns the region whose VMs are preferred as an account's home, or "" for
+	// none. If PreferredRegion is nil, no region is preferred.
 	PreferredRegion func(account string) string
 	// StartTokens returns how many tokens the fleet may admit beyond an account's limit when all
 	// its VMs restart; each VM starts with its part of them. Nil means none: buckets start empty,
@@ -70,15 +70,15 @@
 type account struct {
 	mu     sync.Mutex
 	budget *budget
-	// config and holding are the inputs of the budget's shares; view is the one that its home was
-	// derived from.
+	// config and holding are the inputs of the budget's shares; view is the fleet view from which
+	// budget.home was derived.
 	config  *config.Account
 	holding *lease.Holding
 	view    *member.View
-	// keepUntil is how long the budget must be kept if the account is deleted.
+	// keepUntil is the time until which the budget must be kept if the account is deleted.
 	keepUntil clock.Time
-	// askDone is closed when the latest token request has ended.
-	askDone chan struct{}
+	// tokenRequestDone is closed when the latest token request has ended.
+	tokenRequestDone chan struct{}
 }
 
 // Service admits requests from this VM's shares, borrows shares from its peers
@@ -95,7 +95,7 @@
 	exchanges   map[string]int
 	exchangesMu sync.Mutex
 
-	admitted, refused, asks, collections, failures metrics.Counter
+	admitted, refused, tokenRequests, collections, failures metrics.Counter
 }
 
 // NewService returns a Service that admits from this VM's own slots. It exchanges no loans before
@@ -108,15 +108,15 @@
 		return metrics.GetOrRegisterCounter(cmp.Or(cfg.Name, "limit")+"."+name, cfg.Metrics)
 	}
 	s := &Service{
-		cfg:         cfg,
-		ctx:         context.Background(),
-		dedup:       newRequestDedup(),
-		exchanges:   map[string]int{},
-		admitted:    counter("admitted"),
-		refused:     counter("refused"),
-		asks:        counter("asks"),
-		collections: counter("collections"),
-		failures:    counter("failures"),
+		cfg:           cfg,
+		ctx:           context.Background(),
+		dedup:         newRequestDedup(),
+		exchanges:     map[string]int{},
+		admitted:      counter("admitted"),
+		refused:       counter("refused"),
+		tokenRequests: counter("asks"),
+		collections:   counter("collections"),
+		failures:      counter("failures"),
 	}
 	s.accounts.Store(&map[string]*account{})
 	// Loan IDs start at a random number, so that a lender that restarts does not mistake a loan of
@@ -204,7 +204,7 @@
 		s.refused.Inc(1)
 		return Decision{RetryAfter: a.budget.retryAfter(reserve, now)}, nil
 	}
-	return Decision{}, a.askDone
+	return Decision{}, a.tokenRequestDone
 }
 
 // account returns the account and its limit, and creates its budget if it has none yet. It returns
@@ -261,30 +261,30 @@
 	home, ok := s.home(a.budget.name)
 	if !ok {
 		a.budget.denyUntil = now.Add(failedRequestBackoff)
-		a.askDone = closedChan
+		a.tokenRequestDone = closedChan
 		return
 	}
 	if home.ID == s.cfg.Members.View().Self.ID {
 		a.budget.home = true
-		a.askDone = closedChan
+		a.tokenRequestDone = closedChan
 		return
 	}
 	r, timeout := a.budget.tokenRequest(reserve, now), a.budget.timeout()
 	done := make(chan struct{})
-	a.askDone = done
-	s.asks.Inc(1)
+	a.tokenRequestDone = done
+	s.tokenRequests.Inc(1)
 	go func() {
 		defer close(done)
 		ctx, cancel := context.WithTimeout(s.ctx, timeout)
 		defer cancel()
-		answer := s.exchange(ctx, home, []*peerpb.AccountRequest{r})
+		responses := s.exchange(ctx, home, []*peerpb.AccountRequest{r})
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.budget.handleTokenResponse(r, answer[a.budget.name], home.Incarnation, now, s.cfg.Clock.Now())
+		a.budget.handleTokenResponse(r, responses[a.budget.name], home.Incarnation, now, s.cfg.Clock.Now())
 	}()
 }
 
-// closedChan is the askDone of a request that ended at once.
+// closedChan is the tokenRequestDone of a token request that ended at once.
 var closedChan = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
@@ -340,13 +340,14 @@
 	return shares
 }
 
-// StopLending stops making and extending loans, so that all loans have ended loanDrainTime later. A
-// VM that stops calls it first, so that its next process can use the VM's share at once.
+// StopLending stops making and extending loans, so that all loans have ended loanDrainTime later. If
+// a VM calls it at the start of its shutdown, its next process can use the VM's share at once. The
+// VM also stops being a home and borrows no more shares.
 func (s *Service) StopLending() { s.stopping.Store(true) }
 
-// Release returns borrowed shares and borrows no more. A share that was lent to others can't be
-// returned for up to demandLoanDuration; Release waits for it until ctx ends. Loans of this VM's
-// own share end by themselves.
+// Release does what StopLending does and also returns the borrowed shares. A borrowed share that
+// this VM lent to others can't be returned for up to demandLoanDuration; Release waits for it until
+// ctx ends. Loans of this VM's own share end by themselves.
 func (s *Service) Release(ctx context.Context) {
 	s.stopping.Store(true)
 	for {
--- a/pkg/limit/service_test.go
+++ b/pkg/limit/service_test.go
@@ -160,11 +160,11 @@
 func TestRecreatedAccountKeepsItsLoans(t *testing.T) {
 	s, src, now := newService(accountOf10)
 	now.Advance(time.Second)
-	answer, err := server{s}.Exchange(t.Context(), &peerpb.ExchangeRequest{
+	response, err := server{s}.Exchange(t.Context(), &peerpb.ExchangeRequest{
 		Borrower: "b", RequestId: 1, Accounts: []*peerpb.AccountRequest{{Account: "a", Collect: true, Load: 1}},
 	})
-	if err != nil || len(answer.Accounts) != 1 || len(answer.Accounts[0].Grants) != 1 {
-		t.Fatalf("Exchange: %v, %v; want one grant", answer, err)
+	if err != nil || len(response.Accounts) != 1 || len(response.Accounts[0].Grants) != 1 {
+		t.Fatalf("Exchange: %v, %v; want one grant", response, err)
 	}
 	src.config.Store(config.Empty())
 	s.refresh(src.View())
--- a/pkg/limit/settle.go
+++ b/pkg/limit/settle.go
@@ -73,9 +73,9 @@
 	return false
 }
 
-// AwaitLoansEnded waits until no VM can use what an earlier incarnation of this one lent: each VM has
-// confirmed it, or no process runs at its address. It returns false if that takes as long as the
-// longest loan.
+// AwaitLoansEnded waits until no VM can use what an earlier incarnation of this one lent: each VM
+// has confirmed it, or no process runs at its address. It returns false if that takes as long as
+// the longest loan.
 func (s *Service) AwaitLoansEnded(ctx context.Context, vms []storage.VM) bool {
 	ctx, cancel := context.WithTimeout(ctx, loanDrainTime)
 	defer cancel()
@@ -90,7 +90,8 @@
 	return ctx.Err() == nil
 }
 
-// awaitLoansEndedAt returns when one VM holds no loan, or ctx ends.
+// awaitLoansEndedAt returns when one VM holds no such loan, no process runs at its address, or ctx
+// ends.
 func (s *Service) awaitLoansEndedAt(ctx context.Context, vm storage.VM, id, incarnation string) {
 	client := s.client(vm.PeerAddress)
 	for refused := 0; ctx.Err() == nil; {
--- a/pkg/limit/settle_test.go
+++ b/pkg/limit/settle_test.go
@@ -31,10 +31,10 @@
 	a.budget.borrow(grant{id: 1, share: share{1, 1}, duration: d}, lender, now, now)
 }
 
-// TestMassRestartSettlesAtOnce guards against VMs that all restart at the same moment and then wait
+// TestMassRestartNeedsNoWait guards against VMs that all restart at the same moment and then wait
 // for loans that no process holds. Waiting for the longest loan refused all requests of all
 // accounts for 3 s.
-func TestMassRestartSettlesAtOnce(t *testing.T) {
+func TestMassRestartNeedsNoWait(t *testing.T) {
 	services, all, _ := startFleet(t, 4, accounts(accountOf10))
 	for _, s := range services {
 		if !s.AwaitLoansEnded(t.Context(), registered(all)) {
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestMayHold(t *testing.T) {
+func TestMayHoldLoan(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		set    func(*Service)
--- a/pkg/limit/world_test.go
+++ b/pkg/limit/world_test.go
@@ -22,8 +22,8 @@
 	noMutation mutation = iota
 	// lenderKeeps lets the lender keep using what it lent.
 	lenderKeeps
-	// countFromAnswer makes the borrower count a loan's duration from the arrival of the response.
-	countFromAnswer
+	// countFromResponse makes the borrower count a loan's duration from the arrival of the response.
+	countFromResponse
 	// fullOnTakeover fills the bucket of a slot that is taken over.
 	fullOnTakeover
 	// noDrainWait lets the new holder of a slot use it before the previous holder's loans have
@@ -59,8 +59,10 @@
 	holder *worldVM
 	// vacantAt is the true time from which the slot may be taken if its lease is not renewed.
 	vacantAt time.Duration
+	// expiring reports that the holder does not renew the lease.
 	expiring bool
-	used     bool
+	// used reports that the slot has had a holder.
+	used bool
 	// orphaned reports that the process of the last holder has ended.
 	orphaned bool
 }
@@ -200,7 +202,8 @@
 	}
 }
 
-// replace kills a VM; its slots are free at once, as its death is proven.
+// replace kills a VM's process and starts another one. The slots are free at once, as the death is
+// proven.
 func (w *world) replace() {
 	i := rapid.IntRange(0, len(w.vms)-1).Draw(w.T, "killed")
 	old := w.vms[i]
@@ -213,7 +216,7 @@
 	}
 	w.retireLimit(old)
 	w.vms[i] = w.startProcess(rapid.SampledFrom(w.vms).Draw(w.T, "config of").config)
-	// The next process of the VM holds the slots that it keeps.
+	// The VM's next process holds the kept slots.
 	for _, k := range inherited {
 		if k%2 == 0 {
 			w.take(k, w.vms[i])
@@ -320,7 +323,7 @@
 	if m := w.send(); m != nil {
 		w.inFlight = w.inFlight[:len(w.inFlight)-1]
 		m.r = w.serve(m)
-		w.answer(m)
+		w.handleResponse(m)
 	}
 }
 
@@ -370,7 +373,7 @@
 		return
 	}
 	if m.r != nil {
-		w.answer(m)
+		w.handleResponse(m)
 		return
 	}
 	if fate == "twice" {
@@ -394,10 +397,10 @@
 	return r
 }
 
-func (w *world) answer(m *message) {
+func (w *world) handleResponse(m *message) {
 	now := w.sync(m.from)
 	sent := m.sent
-	if w.mutation == countFromAnswer {
+	if w.mutation == countFromResponse {
 		sent = now
 	}
 	switch m.kind {
@@ -452,7 +455,7 @@
 // disabled.
 func TestLimitNeedsEachMechanism(t *testing.T) {
 	names := map[mutation]string{
-		lenderKeeps: "lender keeps using its loans", countFromAnswer: "borrower counts from the response",
+		lenderKeeps: "lender keeps using its loans", countFromResponse: "borrower counts from the response",
 		fullOnTakeover: "full buckets after a takeover", noDrainWait: "no wait for loans after a takeover",
 		lendsKept: "kept slots are lent", fastClocks: "clocks drift beyond the margin",
 	}
