--- a/pkg/retry/pools.go
+++ b/pkg/retry/pools.go
@@ -12,8 +12,8 @@
 // they were granted.
 const (
 	earnedOfRatio, savedOfRatio = 0.8, 0.15
-	// Many VMs share the floor, so the part of each is small. Saving half of it leaves each VM a
-	// whole retry.
+	// Many VMs share the floor, so the part of each is small. Each may save half of its part, so
+	// that it can save up a whole retry.
 	earnedOfFloor, savedOfFloor = 0.45, 0.5
 )
 
@@ -69,11 +69,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.bucketAt(pool, l, now)
-	use := TakeResult{Granted: p.tokens >= 1, Available: p.tokens, Capacity: p.capacity(l), Requests: p.recent.sum, VMs: l.VMs}
-	if use.Granted {
+	result := TakeResult{Granted: p.tokens >= 1, Available: p.tokens, Capacity: p.capacity(l), Requests: p.recent.sum, VMs: l.VMs}
+	if result.Granted {
 		p.tokens--
 	}
-	return use
+	return result
 }
 
 // bucketAt returns the bucket of a pool, including what it has earned from its part of the floor
