--- a/pkg/quarantine/answered.go
+++ b/pkg/quarantine/answered.go
@@ -10,17 +10,17 @@
 // than a target takes to restart after its death.
 const answeredPeriod = 15 * time.Second
 
-// answered remembers the requests that targets answered lately, in two generations.
-type answered struct {
+// answeredRequests remembers the requests that targets answered recently, in two generations.
+type answeredRequests struct {
 	capacity int
 	since    clock.Time // when newer began
 	// newer and older hold the requests of the current period and of the one before. The value is
 	// true if a death was excused since the request's last answer.
-	newer, older map[short]bool
+	newer, older map[shortID]bool
 }
 
 // rotate begins a new generation if the current one has ended or is full.
-func (a *answered) rotate(now clock.Time) {
+func (a *answeredRequests) rotate(now clock.Time) {
 	period := now.Sub(a.since)
 	if a.newer != nil && period < answeredPeriod && len(a.newer) < a.capacity/2 {
 		return
@@ -29,10 +29,11 @@
 	if period >= 2*answeredPeriod {
 		a.older = nil
 	}
-	a.newer, a.since = map[short]bool{}, now
+	a.newer, a.since = map[shortID]bool{}, now
 }
 
-func (a *answered) add(s short, now clock.Time) {
+// add records that a target answered a request.
+func (a *answeredRequests) add(s shortID, now clock.Time) {
 	if a.capacity == 0 {
 		return
 	}
@@ -41,14 +42,14 @@
 }
 
 // excuse reports whether a death does not count against a request because a target answered it
-// lately. Each answer excuses only one death, as a request that was harmless may begin to crash
+// recently. Each answer excuses only one death, as a request that was harmless may begin to crash
 // targets.
-func (a *answered) excuse(s short, now clock.Time) bool {
+func (a *answeredRequests) excuse(s shortID, now clock.Time) bool {
 	if a.capacity == 0 {
 		return false
 	}
 	a.rotate(now)
-	for _, generation := range []map[short]bool{a.newer, a.older} {
+	for _, generation := range []map[shortID]bool{a.newer, a.older} {
 		if excused, known := generation[s]; known {
 			generation[s] = true
 			return !excused
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -1,8 +1,8 @@
 // Package quarantine finds the requests that crash the targets that run them, and keeps them from
 // being sent again.
 //
-// A target that dies takes all its running requests with it, and most of them are harmless. So a
-// first death only makes a request suspect. A further death counts if the request was sent again
+// When a target dies, all its running requests fail, and most of them are harmless. So a first
+// death only makes a request suspect. A further death counts if the request was sent again
 // after a death was known of it, and that target died too. Such a death counts half if another
 // suspect was sent to the same target and was running when it died. Twice the score is needed while
 // other targets die that the request was not sent to, as when a region fails. A suspect that a
@@ -27,12 +27,12 @@
 	"crocusramp.dev/crocusramp/pkg/clock"
 )
 
-// Base is the hash of what is known of a request before its body is read: account, route, method,
-// URI and body length.
+// BaseHash is the hash of what is known of a request before its body is read: account, route,
+// method, URI and body length.
 type Base [sha256.Size]byte
 
-// Fingerprint identifies a request by its Base and the part of its body that had been read when its
-// target died.
+// Fingerprint identifies a request by its BaseHash and the part of its body that had been read when
+// its target died.
 type Fingerprint struct {
 	Base Base
 	// PrefixBytes is how much of the body had been read, and PrefixHash is the hash of that prefix.
@@ -45,13 +45,13 @@
 	return Fingerprint{Base: b, PrefixBytes: len(prefix), PrefixHash: sha256.Sum256(prefix)}
 }
 
-// shortBytes is the length of a short fingerprint.
-const shortBytes = 16
+// shortIDBytes is the length of a shortID.
+const shortIDBytes = 16
 
-// short is a compact identifier of a fingerprint.
-type short [shortBytes]byte
+// shortID is a compact identifier of a fingerprint.
+type shortID [shortIDBytes]byte
 
-func (f *Fingerprint) short() (s short) {
+func (f *Fingerprint) shortID() (s shortID) {
 	h := sha256.New()
 	h.Write(f.Base[:])
 	h.Write(f.PrefixHash[:])
@@ -61,7 +61,7 @@
 
 // String returns the name of the fingerprint in logs and in the platform's store.
 func (f Fingerprint) String() string {
-	s := f.short()
+	s := f.shortID()
 	return hex.EncodeToString(s[:])
 }
 
@@ -107,16 +107,16 @@
 	massThreshold = 4.0
 	// massDeaths is how many unrelated targets must die to make a mass failure.
 	massDeaths = 2
-	// sharedScore is the score of a death that another suspect may have caused.
-	sharedScore = 0.5
-	// sharedWindow is the largest time between two deaths of one target that count as the same
+	// ambiguousScore is the score of a death that another suspect may have caused.
+	ambiguousScore = 0.5
+	// sameEventWindow is the largest time between two deaths of one target that count as the same
 	// event.
-	sharedWindow = 5 * time.Second
+	sameEventWindow = 5 * time.Second
 	// massWindow is the largest time between a suspect's last death and the deaths of other targets
 	// that count towards a mass failure.
 	massWindow = 30 * time.Second
 	// maxDeaths is the largest number of deaths kept of one fingerprint, maxVariants the largest
-	// number of fingerprints with one base.
+	// number of fingerprints with one BaseHash.
 	maxDeaths   = 8
 	maxVariants = 8
 	// sharedDeaths is how many targets must die with a request before all VMs and later processes
@@ -131,19 +131,19 @@
 
 // The defaults of Config.
 const (
-	defaultSize     = 1024
-	defaultDuration = 10 * time.Minute
-	defaultMemory   = time.Hour
+	defaultSize      = 1024
+	defaultDuration  = 10 * time.Minute
+	defaultRetention = time.Hour
 )
 
 // Config holds a List's settings.
 type Config struct {
-	// Size is the largest number of bases remembered, at about 8 KiB each at most; the least
+	// Size is the largest number of BaseHashes remembered, at about 8 KiB each at most; the least
 	// recently used one is dropped. Default 1024.
 	Size int
 	// Duration is how long a request is quarantined after its last death. Default 10 min.
 	Duration time.Duration
-	// Memory is how long a suspect is remembered after its last death. A remembered suspect that
+	// Retention is how long a suspect is remembered after its last death. A remembered suspect that
 	// was quarantined before is quarantined again at its next death. Default 1 h.
 	Memory time.Duration
 	// MaxTrials is the largest number of trials of a request that was quarantined or is on
@@ -152,7 +152,7 @@
 	MaxTrials int
 	// Backoff is the factor by which each trial lengthens Duration. Default 1.
 	Backoff int
-	// Answered is how many answered requests are remembered, for 15 to 30 s, at about 50 B each.
+	// MaxAnswered is how many answered requests are remembered, for 15 to 30 s, at about 50 B each.
 	// The first death after an answer does not make a request suspect. Default 0.
 	Answered int
 	Clock    clock.Clock
@@ -163,7 +163,7 @@
 	config Config
 	mu     sync.Mutex
 	state  *state
-	// used is set once any death has been noted.
+	// used is set once any death has been recorded.
 	used atomic.Bool
 }
 
@@ -176,7 +176,7 @@
 		c.Duration = defaultDuration
 	}
 	if c.Memory == 0 {
-		c.Memory = defaultMemory
+		c.Memory = defaultRetention
 	}
 	if c.Backoff == 0 {
 		c.Backoff = 1
@@ -188,14 +188,14 @@
 	if err != nil {
 		panic(err) // only a size below 1 fails
 	}
-	return &List{config: c, state: &state{suspects: suspects, answered: answered{capacity: c.Answered}}}
+	return &List{config: c, state: &state{suspects: suspects, answered: answeredRequests{capacity: c.Answered}}}
 }
 
 // Empty reports whether no request was ever suspect. It takes no lock.
 func (l *List) Empty() bool { return !l.used.Load() }
 
 // Prefix returns how much of a body must be read to assess a request. known is false if there is no
-// suspect with this base.
+// suspect with this BaseHash.
 func (l *List) Prefix(b Base) (n int, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -221,25 +221,26 @@
 	l.state.clear(func(v *suspect) bool { return v.fingerprint.Base == b && v.matches(prefix) }, b)
 }
 
-// RecordAnswer records that a target answered a request. It reports whether the request was suspect.
+// RecordAnswer records that a target answered a request. It reports whether the request was
+// suspect.
 func (l *List) RecordAnswer(f Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.state.answered.add(f.short(), l.config.Clock.Now())
+	l.state.answered.add(f.shortID(), l.config.Clock.Now())
 	return l.state.clear(func(v *suspect) bool { return v.fingerprint == f }, f.Base)
 }
 
-// RecordDeath records that a target died while it ran the request. It reports whether the death is new and
-// makes the request suspect.
+// RecordDeath records that a target died while it ran the request. It reports whether the death is
+// new and makes the request suspect.
 func (l *List) RecordDeath(f Fingerprint, d Death) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.config.Clock.Now()
 	l.used.Store(true)
-	if !l.state.note(f, d, now, l.config.Memory) {
+	if !l.state.recordDeath(f, d, now, l.config.Memory) {
 		return false
 	}
-	if d.Prior == 0 && l.state.answered.excuse(f.short(), now) {
+	if d.Prior == 0 && l.state.answered.excuse(f.shortID(), now) {
 		l.state.find(f).last().cleared = true
 		return false
 	}
@@ -265,7 +266,7 @@
 	l.used.Store(true)
 	for _, d := range c.Deaths {
 		d.Age = 0
-		l.state.note(c.Fingerprint, d, now, l.config.Memory)
+		l.state.recordDeath(c.Fingerprint, d, now, l.config.Memory)
 	}
 	if v := l.state.find(c.Fingerprint); v != nil && !v.cleared() {
 		v.confirmed = v.confirmed || c.Confirmed || c.Trials > 0
@@ -273,8 +274,8 @@
 	}
 }
 
-// RecordTrials records the total number of trials of a request. If it exceeds the known number, the last
-// trial counts from now.
+// RecordTrials records the total number of trials of a request. If it exceeds the known number, the
+// last trial counts from now.
 func (l *List) RecordTrials(f Fingerprint, trials int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -284,7 +285,7 @@
 }
 
 // Restricted reports whether the request is quarantined or on probation.
-func (j Assessment) Restricted() bool { return j.Quarantined || j.Probation }
+func (a Assessment) Restricted() bool { return a.Quarantined || a.Probation }
 
 // MustBeShared reports whether all VMs and later processes must know of the case.
 func (c *Case) MustBeShared() bool { return c.Restricted() || len(c.Deaths) >= sharedDeaths }
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -56,9 +56,9 @@
 	if !f.quarantined(1) {
 		t.Error("not quarantined after another death")
 	}
-	f.clock.Advance(defaultMemory + time.Second)
-	if j := f.list.Assess(base(1), nil); j.Deaths != 0 {
-		t.Errorf("remembered for ever: %+v", j)
+	f.clock.Advance(defaultRetention + time.Second)
+	if a := f.list.Assess(base(1), nil); a.Deaths != 0 {
+		t.Errorf("remembered forever: %+v", a)
 	}
 }
 
@@ -99,12 +99,12 @@
 func TestRepeatedReportCountsOnce(t *testing.T) {
 	f := newFleet()
 	d := Death{ID: "t1@1", Target: "t1"}
-	print := NewFingerprint(base(1), []byte("body"))
-	if !f.list.RecordDeath(print, d) || f.list.RecordDeath(print, d) {
+	fingerprint := NewFingerprint(base(1), []byte("body"))
+	if !f.list.RecordDeath(fingerprint, d) || f.list.RecordDeath(fingerprint, d) {
 		t.Error("one death counted twice")
 	}
-	if j := f.list.Assess(base(1), []byte("body")); j.Deaths != 1 || j.Quarantined {
-		t.Errorf("got %+v", j)
+	if a := f.list.Assess(base(1), []byte("body")); a.Deaths != 1 || a.Quarantined {
+		t.Errorf("got %+v", a)
 	}
 }
 
@@ -135,8 +135,8 @@
 		t.Error("a body with the same prefix is not quarantined")
 	}
 	for _, body := range []string{"", "pois", "harmless"} {
-		if j := f.list.Assess(base(1), []byte(body)); j.Deaths != 0 {
-			t.Errorf("%q: %+v", body, j)
+		if a := f.list.Assess(base(1), []byte(body)); a.Deaths != 0 {
+			t.Errorf("%q: %+v", body, a)
 		}
 	}
 }
@@ -204,12 +204,12 @@
 		f.dies(fmt.Sprintf("t%d", i), map[int]int{1: min(i, 1), 10: 0, 11: min(i, 1)})
 		f.dies(fmt.Sprintf("other%d", i), map[int]int{20 + i: 0})
 	}
-	if j := f.list.Assess(base(1), nil); !j.Probation && !j.Quarantined {
-		t.Errorf("got %+v", j)
+	if a := f.list.Assess(base(1), nil); !a.Probation && !a.Quarantined {
+		t.Errorf("got %+v", a)
 	}
 	for i := range 3 {
-		if j := f.list.Assess(base(20+i), nil); j.Probation || j.Quarantined {
-			t.Errorf("request %d, one death: %+v", 20+i, j)
+		if a := f.list.Assess(base(20+i), nil); a.Probation || a.Quarantined {
+			t.Errorf("request %d, one death: %+v", 20+i, a)
 		}
 	}
 }
@@ -221,26 +221,26 @@
 	f.dies("t2", map[int]int{1: 1})
 	p := NewFingerprint(base(1), nil)
 	for trial, hold := range []time.Duration{10 * time.Second, time.Minute} {
-		if j := f.list.Assess(base(1), nil); !j.Quarantined || j.RetryAfter > hold {
-			t.Fatalf("before trial %d: %+v", trial+1, j)
+		if a := f.list.Assess(base(1), nil); !a.Quarantined || a.RetryAfter > hold {
+			t.Fatalf("before trial %d: %+v", trial+1, a)
 		}
 		f.clock.Advance(hold)
-		if j := f.list.Assess(base(1), nil); j.Quarantined || !j.Probation {
-			t.Fatalf("%v later: %+v", hold, j)
+		if a := f.list.Assess(base(1), nil); a.Quarantined || !a.Probation {
+			t.Fatalf("%v later: %+v", hold, a)
 		}
 		f.list.RecordTrials(p, trial+1)
-		if j := f.list.Assess(base(1), nil); !j.Quarantined {
-			t.Fatalf("while trial %d runs: %+v", trial+1, j)
+		if a := f.list.Assess(base(1), nil); !a.Quarantined {
+			t.Fatalf("while trial %d runs: %+v", trial+1, a)
 		}
 		f.dies(fmt.Sprint("t", 3+trial), map[int]int{1: 2 + trial})
 	}
 	f.clock.Advance(20 * time.Minute)
-	if j := f.list.Assess(base(1), nil); !j.Quarantined || j.Probation {
-		t.Errorf("after the last trial: %+v", j)
+	if a := f.list.Assess(base(1), nil); !a.Quarantined || a.Probation {
+		t.Errorf("after the last trial: %+v", a)
 	}
-	f.clock.Advance(defaultMemory)
-	if j := f.list.Assess(base(1), nil); j.Deaths != 0 {
-		t.Errorf("remembered for ever: %+v", j)
+	f.clock.Advance(defaultRetention)
+	if a := f.list.Assess(base(1), nil); a.Deaths != 0 {
+		t.Errorf("remembered forever: %+v", a)
 	}
 }
 
@@ -262,13 +262,13 @@
 		f.list.RecordDeath(p, d)
 	}
 	f.list.Restore(c)
-	if j := f.list.Assess(base(1), nil); j != (Assessment{}) {
-		t.Errorf("got %+v", j)
+	if a := f.list.Assess(base(1), nil); a != (Assessment{}) {
+		t.Errorf("got %+v", a)
 	}
 	other := withTrials()
 	other.list.Restore(c)
-	if j := other.list.Assess(base(1), nil); !j.Quarantined {
-		t.Errorf("another process: %+v", j)
+	if a := other.list.Assess(base(1), nil); !a.Quarantined {
+		t.Errorf("another process: %+v", a)
 	}
 }
 
@@ -317,8 +317,8 @@
 	}
 }
 
-// BenchmarkJudge measures the cost of each request while others are suspect.
-func BenchmarkJudge(b *testing.B) {
+// BenchmarkAssess measures the cost of each request while others are suspect.
+func BenchmarkAssess(b *testing.B) {
 	l := NewList(Config{MaxTrials: 2})
 	for i := range 64 {
 		l.RecordDeath(NewFingerprint(base(i), nil), Death{ID: fmt.Sprint(i), Target: fmt.Sprint(i)})
--- a/pkg/quarantine/state.go
+++ b/pkg/quarantine/state.go
@@ -15,7 +15,7 @@
 	suspects *lru.Cache[Base, []*suspect]
 	// events are the most recent deaths of targets, the oldest first.
 	events   []event
-	answered answered
+	answered answeredRequests
 }
 
 // suspect is a request that was running when a target died.
@@ -98,12 +98,12 @@
 		if !v.matches(prefix) {
 			continue
 		}
-		j := s.assessSuspect(v, now, c)
-		worst.Deaths = max(worst.Deaths, j.Deaths)
-		worst.Quarantined = worst.Quarantined || j.Quarantined
-		worst.Probation = worst.Probation || j.Probation
-		worst.Confirmed = worst.Confirmed || j.Confirmed
-		worst.RetryAfter = max(worst.RetryAfter, j.RetryAfter)
+		a := s.assessSuspect(v, now, c)
+		worst.Deaths = max(worst.Deaths, a.Deaths)
+		worst.Quarantined = worst.Quarantined || a.Quarantined
+		worst.Probation = worst.Probation || a.Probation
+		worst.Confirmed = worst.Confirmed || a.Confirmed
+		worst.RetryAfter = max(worst.RetryAfter, a.RetryAfter)
 	}
 	return worst
 }
@@ -113,7 +113,7 @@
 	return n <= len(prefix) && sha256.Sum256(prefix[:n]) == v.fingerprint.PrefixHash
 }
 
-// clear clears the suspects with this base that match. It reports whether there were any.
+// clear clears the suspects with this BaseHash that match. It reports whether there were any.
 func (s *state) clear(matches func(*suspect) bool, b Base) (found bool) {
 	for _, v := range s.variants(b) {
 		if v.cleared() || !matches(v) {
@@ -130,18 +130,18 @@
 
 func (s *state) assessSuspect(v *suspect, now clock.Time, c *Config) Assessment {
 	var last clock.Time
-	j := Assessment{}
+	a := Assessment{}
 	for _, d := range v.deaths {
 		if !d.cleared {
-			j.Deaths++
+			a.Deaths++
 			last = max(last, d.at)
 		}
 	}
-	if j.Deaths == 0 || now.Sub(last) > c.Memory {
+	if a.Deaths == 0 || now.Sub(last) > c.Memory {
 		return Assessment{}
 	}
-	j.Confirmed = s.confirms(v, last)
-	trialRequired := c.MaxTrials > 0 && (j.Confirmed || v.targets() >= probationDeaths)
+	a.Confirmed = s.confirms(v, last)
+	trialRequired := c.MaxTrials > 0 && (a.Confirmed || v.targets() >= probationDeaths)
 	duration := c.Duration
 	if v.trials > 0 {
 		last = max(last, v.lastTrial)
@@ -154,12 +154,12 @@
 	}
 	left := last.Add(duration).Sub(now)
 	switch {
-	case left > 0 && (j.Confirmed || (trialRequired && v.trials > 0)):
-		j.Quarantined, j.RetryAfter = true, left
+	case left > 0 && (a.Confirmed || (trialRequired && v.trials > 0)):
+		a.Quarantined, a.RetryAfter = true, left
 	case trialRequired:
-		j.Probation = true
+		a.Probation = true
 	}
-	return j
+	return a
 }
 
 // confirms reports whether the deaths up to the last one are enough to quarantine a suspect.
@@ -195,8 +195,8 @@
 		case d.cleared:
 		case d.Prior == 0:
 			// The request was already running when its first target died.
-		case s.shared(v, d):
-			score += sharedScore
+		case s.ambiguous(v, d):
+			score += ambiguousScore
 		default:
 			score++
 		}
@@ -204,11 +204,11 @@
 	return score
 }
 
-// shared reports whether another suspect was sent to the same target and was running when it died
-// at that time.
-func (s *state) shared(v *suspect, d datedDeath) bool {
+// ambiguous reports whether another suspect may have caused the death: it was sent to the same
+// target and was running when the target died.
+func (s *state) ambiguous(v *suspect, d datedDeath) bool {
 	for _, e := range s.events {
-		if e.again && e.target == d.Target && within(e.at, d.at, sharedWindow) && e.fingerprint != v.fingerprint {
+		if e.again && e.target == d.Target && within(e.at, d.at, sameEventWindow) && e.fingerprint != v.fingerprint {
 			return true
 		}
 	}
@@ -236,7 +236,9 @@
 	return a.Sub(b) <= d && b.Sub(a) <= d
 }
 
-func (s *state) note(f Fingerprint, d Death, now clock.Time, memory time.Duration) bool {
+// recordDeath records a death and its event. It returns false if the death is known already or
+// older than the retention.
+func (s *state) recordDeath(f Fingerprint, d Death, now clock.Time, retention time.Duration) bool {
 	variants := slices.Clone(s.variants(f.Base))
 	i := slices.IndexFunc(variants, func(v *suspect) bool { return v.fingerprint == f })
 	if i < 0 {
@@ -251,10 +253,10 @@
 		return false
 	}
 	at := now.Add(-d.Age)
-	if d.Age > memory {
+	if d.Age > retention {
 		return false
 	}
-	if n := len(v.deaths); n > 0 && now.Sub(v.deaths[n-1].at) > memory {
+	if n := len(v.deaths); n > 0 && now.Sub(v.deaths[n-1].at) > retention {
 		v.deaths, v.trials, v.confirmed = nil, 0, false
 	}
 	v.deaths = append(v.deaths, datedDeath{Death: d, at: at})
