--- a/pkg/deathreport/deathreport.go
+++ b/pkg/deathreport/deathreport.go
@@ -39,7 +39,7 @@
 type Config struct {
 	List    *quarantine.List
 	Members member.Source
-	// Peers connects to other VMs; nil if there are none.
+	// PeerDialer connects to other VMs; nil if there are none.
 	Peers *peer.Dialer
 	Log   zerolog.Logger
 	// PathPrefix is the path under which peers serve the service. Default: twirp's own prefix.
@@ -51,9 +51,9 @@
 type Service struct {
 	cfg Config
 
-	mu      sync.Mutex
-	pending []*peerpb.Suspect
-	sending bool
+	mu            sync.Mutex
+	pending       []*peerpb.Suspect
+	sendScheduled bool
 }
 
 // New returns a Service.
@@ -88,8 +88,8 @@
 		return true
 	}
 	s.pending = append(s.pending, codec.Encode(quarantine.Case{Fingerprint: f, Deaths: []quarantine.Death{d}}))
-	if !s.sending {
-		s.sending = true
+	if !s.sendScheduled {
+		s.sendScheduled = true
 		peers := len(s.cfg.Members.View().Peers)
 		time.AfterFunc(max(minBatchDelay, time.Duration(peers)*batchDelayPerPeer), s.send)
 	}
@@ -100,7 +100,7 @@
 func (s *Service) send() {
 	s.mu.Lock()
 	request := &peerpb.ReportDeathsRequest{Suspects: s.pending}
-	s.pending, s.sending = nil, false
+	s.pending, s.sendScheduled = nil, false
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
