--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -1,4 +1,5 @@
-// Package member maintains a VM's view of its peers by heartbeats.
+// Package member maintains a VM's view of its peers by heartbeats. A heartbeat is a call (probe) of
+// a peer, which responds with its state.
 package member
 
 import (
@@ -89,7 +90,7 @@
 	Target string
 	// Born is when the target started, in Unix milliseconds; 0 if unknown.
 	Born int64
-	// Named is false if the target no longer announces a limit.
+	// Limited is false if the target no longer announces a limit.
 	Named bool
 	// Rate is in requests per second.
 	Rate float64
--- a/pkg/member/prober.go
+++ b/pkg/member/prober.go
@@ -44,19 +44,19 @@
 	Loop      *control.Loop
 	Clock     clock.Clock
 	Log       zerolog.Logger
-	// Local sets the fields of Self that change, such as the state, the version of
+	// UpdateSelf sets the fields of Self that change, such as the state, the version of
 	// the configuration and the free permits. It is called for each heartbeat, on
 	// any goroutine.
 	Local func(*Peer)
 	// ListPeriod is how often the platform's list is read, 1 s if zero. A longer
 	// period delays the discovery of new VMs.
 	ListPeriod time.Duration
-	// ProbePeriod is the time between two heartbeats to a peer, 1 s if zero. It grows
-	// if there are more peers than 16 per second. A longer period delays the takeover
-	// of a dead peer's slots.
+	// ProbePeriod is the time between two heartbeats to a peer, 1 s if zero. In a
+	// large fleet the time is longer, as a VM sends at most 16 heartbeats per second.
+	// A longer period delays the takeover of a dead peer's slots.
 	ProbePeriod time.Duration
-	// MaxProbePeriod bounds the growth of that time in a large fleet; 0 means no
-	// bound.
+	// MaxProbePeriod bounds the time between two heartbeats to a peer in a large
+	// fleet, even if a VM then sends more than 16 per second. 0 means no bound.
 	MaxProbePeriod time.Duration
 	// ProbeTimeout bounds the wait for the response to a heartbeat, 1 s if zero.
 	ProbeTimeout time.Duration
@@ -87,7 +87,7 @@
 		cfg.Local = func(*Peer) {}
 	}
 	p := &Prober{cfg: cfg, roster: newRoster(cfg.Self), inFlight: map[string]bool{}, nextProbe: map[string]clock.Time{}}
-	// publish is not used here because Local must not be called before Start.
+	// publish is not used here because UpdateSelf must not be called before Start.
 	p.view.Store(p.roster.view())
 	return p
 }
@@ -179,13 +179,13 @@
 	defer cancel()
 	sent := time.Now()
 	client := peerpb.NewMemberProtobufClient(p.cfg.Dialer.BaseURL(address), p.cfg.Dialer.HTTPClient())
-	answer, err := client.Hello(ctx, &peerpb.HelloRequest{})
+	response, err := client.Hello(ctx, &peerpb.HelloRequest{})
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		result.Result = ProbeRefused
-	case err == nil && answer.GetSelf().GetId() == id:
+	case err == nil && response.GetSelf().GetId() == id:
 		result.Result = ProbeAnswered
-		result.Peer = fromProto(answer.GetSelf(), sent, time.Now())
+		result.Peer = fromProto(response.GetSelf(), sent, time.Now())
 	}
 	return result
 }
--- a/pkg/member/prober_test.go
+++ b/pkg/member/prober_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestHeartbeatsCarrySuspects guards against VMs that send a request that crashes targets because they
-// started after its death reports, or because these did not reach them.
+// TestHeartbeatsCarrySuspects guards against VMs that send a request that crashes targets, because
+// they started after the targets' deaths were reported, or because no report reached them.
 func TestHeartbeatsCarrySuspects(t *testing.T) {
 	f := quarantine.NewFingerprint(quarantine.Base{1}, []byte("body"))
 	sent := Peer{ID: "vm-1", Suspects: []quarantine.Case{{
--- a/pkg/member/roster.go
+++ b/pkg/member/roster.go
@@ -97,7 +97,7 @@
 	e.probedAt = p.Sent
 	switch p.Result {
 	case ProbeAnswered:
-		e.answered(p)
+		e.applyResponse(p)
 	case ProbeRefused:
 		e.failed = 0
 		e.refused++
@@ -115,7 +115,7 @@
 	}
 }
 
-func (e *entry) answered(p Probe) {
+func (e *entry) applyResponse(p Probe) {
 	address := e.peer.PeerAddress
 	e.refused, e.failed = 0, 0
 	e.peer = p.Peer
