--- a/pkg/claim/batch.go
+++ b/pkg/claim/batch.go
@@ -30,7 +30,7 @@
 	inFlight int
 }
 
-// pending is a queued write and the channel that receives its result.
+// pendingWrite is a queued write and the channel that receives its result.
 type pendingWrite struct {
 	ctx        context.Context
 	write      storage.Write
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -8,8 +8,8 @@
 //     dispatched (Store). The record is durable. While the table is unavailable, no request with a
 //     plain key runs.
 //   - A ticketed key begins with a ticket that one incarnation of one VM issued. The request runs
-//     only there, and that process keeps the record in memory (Session), without the table. After
-//     the process has ended, the response to every retry is "unknown".
+//     only there, and that process keeps the record in memory (TicketStore), without the table.
+//     After the process has ended, the response to every retry is "unknown".
 //
 // The ticket is a part of the key, not a separate field. Otherwise a request that ran with a ticket
 // could be retried without it, and the table, which has no record of the request, would let it run
@@ -40,7 +40,7 @@
 	Running State = "running"
 	// Done requests ran. Their Record holds the response if it is small.
 	Done State = "done"
-	// Ended requests were sent to a target, but no complete response arrived.
+	// Incomplete requests were sent to a target, but no complete response arrived.
 	Ended State = "ended"
 	// Released requests did not run and never will. They may be claimed again.
 	Released State = "released"
--- a/pkg/claim/session.go
+++ b/pkg/claim/session.go
@@ -9,13 +9,13 @@
 	"crocusramp.dev/crocusramp/pkg/clock"
 )
 
-// Defaults of SessionConfig.
+// Defaults of TicketStoreConfig.
 const (
 	defaultMaxRequests  = 200_000
 	defaultMaxResponses = 1024
 )
 
-// SessionConfig configures a Session.
+// TicketStoreConfig configures a TicketStore.
 type SessionConfig struct {
 	VM          string
 	Incarnation string
@@ -28,8 +28,8 @@
 	MaxResponses int
 }
 
-// Session records, in memory, the requests with ticketed keys that this process ran. It is safe for
-// concurrent use.
+// TicketStore issues tickets and records, in memory, the requests with ticketed keys that this
+// process ran. It is safe for concurrent use.
 type Session struct {
 	config SessionConfig
 	issuer *issuer
@@ -55,7 +55,7 @@
 	expires clock.Time
 }
 
-// NewSession returns a Session with a new secret.
+// NewTicketStore returns a TicketStore with a new secret.
 func NewSession(c SessionConfig) *Session {
 	if c.MaxRequests == 0 {
 		c.MaxRequests = defaultMaxRequests
@@ -152,7 +152,7 @@
 }
 
 // Finish records the final state of the request and its response.
-func (s *Session) Finish(id ID, state State, a Response) {
+func (s *Session) Finish(id ID, state State, response Response) {
 	h := hashID(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,8 +166,8 @@
 		delete(s.requests, h)
 		return
 	}
-	e.state, e.status = state, a.Status
-	if a.Stored {
-		s.responses.Add(h, a)
+	e.state, e.status = state, response.Status
+	if response.Stored {
+		s.responses.Add(h, response)
 	}
 }
--- a/pkg/claim/session_test.go
+++ b/pkg/claim/session_test.go
@@ -8,7 +8,7 @@
 	"crocusramp.dev/crocusramp/pkg/clock"
 )
 
-func testSession(c *clock.Fake, change func(*SessionConfig)) *Session {
+func newTestTicketStore(c *clock.Fake, change func(*SessionConfig)) *Session {
 	config := SessionConfig{VM: "vm-1", Incarnation: "i-1", Clock: c}
 	if change != nil {
 		change(&config)
@@ -25,9 +25,9 @@
 	return s.Begin(ID{account, "filing", key}, ticket)
 }
 
-func TestSessionRunsOnce(t *testing.T) {
+func TestTicketedRequestRunsOnce(t *testing.T) {
 	fake := clock.NewFake(1)
-	s := testSession(fake, nil)
+	s := newTestTicketStore(fake, nil)
 	ticket := s.Issue("acme")
 	key := ticket + "/1"
 	if v, _ := begin(t, s, "acme", key); v != Run {
@@ -56,14 +56,14 @@
 	}
 }
 
-func TestSessionRefusesForeignTickets(t *testing.T) {
+func TestTicketStoreRefusesForeignTickets(t *testing.T) {
 	fake := clock.NewFake(1)
-	s := testSession(fake, nil)
+	s := newTestTicketStore(fake, nil)
 	key := s.Issue("acme") + "/1"
 	if v, _ := begin(t, s, "other", key); v != Forged {
 		t.Errorf("ticket of another account: %v, want Forged", v)
 	}
-	if v, _ := begin(t, testSession(fake, nil), "acme", key); v != Forged {
+	if v, _ := begin(t, newTestTicketStore(fake, nil), "acme", key); v != Forged {
 		t.Errorf("ticket of another process with the same VM and incarnation: %v, want Forged", v)
 	}
 	i := strings.LastIndex(key, ".") + 1
@@ -73,9 +73,9 @@
 	}
 }
 
-func TestSessionRefusesWhenFull(t *testing.T) {
+func TestTicketStoreRefusesWhenFull(t *testing.T) {
 	fake := clock.NewFake(1)
-	s := testSession(fake, func(c *SessionConfig) { c.MaxRequests, c.MaxResponses = 2, 1 })
+	s := newTestTicketStore(fake, func(c *SessionConfig) { c.MaxRequests, c.MaxResponses = 2, 1 })
 	ticket := s.Issue("acme")
 	for _, suffix := range []string{"/1", "/2"} {
 		if v, _ := begin(t, s, "acme", ticket+suffix); v != Run {
@@ -96,7 +96,7 @@
 }
 
 func FuzzParseTicket(f *testing.F) {
-	s := testSession(clock.NewFake(1), nil)
+	s := newTestTicketStore(clock.NewFake(1), nil)
 	f.Add(s.Issue("acme") + "/1")
 	f.Add("t1.")
 	f.Add("t1.e30.AA/x")
--- a/pkg/claim/store.go
+++ b/pkg/claim/store.go
@@ -24,7 +24,7 @@
 	maxRecent = 1024
 	// maxClaimWrites is the largest number of writes for one claim.
 	maxClaimWrites = 6
-	// The result of a request is recorded in the background, while its caller no longer waits.
+	// The result of a request is recorded in the background; its caller does not wait for that.
 	recordAttempts = 4
 	recordTimeout  = 4 * time.Second
 	recordDelay    = 200 * time.Millisecond
@@ -109,7 +109,7 @@
 	}
 	if mayHaveWritten {
 		// A write may still take effect, although the request will not run: release the claim.
-		s.record(func(ctx context.Context) bool { return s.abandon(ctx, c) })
+		s.retryInBackground(func(ctx context.Context) bool { return s.abandon(ctx, c) })
 	}
 	return nil, nil, ErrUnavailable
 }
@@ -181,14 +181,14 @@
 // Finish records the final state of the request in the background. The item of a Released claim is
 // not deleted: an item that is deleted and created again has its old revision, and so a late release
 // of the first claim could release the second one.
-func (c *Claim) Finish(state State, a Response) {
-	c.record.State, c.record.Response = state, a
+func (c *Claim) Finish(state State, response Response) {
+	c.record.State, c.record.Response = state, response
 	if state == Released {
 		c.store.recent.Remove(c.key)
 	} else {
 		c.store.recent.Add(c.key, c.record)
 	}
-	c.store.record(c.write)
+	c.store.retryInBackground(c.write)
 }
 
 // write writes the record once and reports whether no retry is needed.
@@ -213,8 +213,8 @@
 	return released.write(ctx)
 }
 
-// record runs f in the background, at most recordAttempts times, until it returns true.
-func (s *Store) record(f func(ctx context.Context) bool) {
+// retryInBackground runs f in the background, at most recordAttempts times, until it returns true.
+func (s *Store) retryInBackground(f func(ctx context.Context) bool) {
 	s.background.Add(1)
 	go func() {
 		defer s.background.Done()
--- a/pkg/claim/ticket.go
+++ b/pkg/claim/ticket.go
@@ -101,5 +101,6 @@
 	return h[:16]
 }
 
-// TicketTTL is how long a ticket is valid. The requests that ran with it are recorded as long.
+// TicketTTL is how long a ticket is valid. The requests that ran with it stay recorded until it
+// expires.
 const TicketTTL = 10 * time.Minute
