--- a/pkg/entry/answer.go
+++ b/pkg/entry/answer.go
@@ -47,15 +47,16 @@
 	stream *forward.Response
 	// release releases the grant; it is set if stream is set.
 	release func(dispatch.Result)
+	// started is when the exchange with the target or peer began.
 	started time.Time
 	// recordEnd, if set, records the result in the request's claim when the stream
 	// ends.
 	recordEnd func(claim.State, claim.Response)
 }
 
-// readAnswer reads a response: all of it if it is small, otherwise its first part. It
+// readResponse reads a response: all of it if it is small, otherwise its first part. It
 // returns an error if the response ends too early.
-func readAnswer(resp *forward.Response) (*answer, error) {
+func readResponse(resp *forward.Response) (*answer, error) {
 	a := &answer{status: resp.StatusCode, header: resp.Header}
 	a.outcome, a.deathID = a.header.Get(headerOutcome), a.header.Get(headerTargetDied)
 	removeHopByHop(a.header)
@@ -136,7 +137,7 @@
 		c.w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
 	c.w.WriteHeader(a.status)
-	err := copyAnswer(c, a)
+	err := copyResponse(c, a)
 	result := dispatch.Result{Outcome: outcome.Done, Status: a.status, Latency: time.Since(a.started)}
 	state := claim.Done
 	if err != nil {
@@ -156,9 +157,9 @@
 	}
 }
 
-// copyAnswer copies the response to the caller. It flushes a response of unknown
+// copyResponse copies the response to the caller. It flushes a response of unknown
 // length after each read, for callers that wait for a part of it.
-func copyAnswer(c *call, a *answer) error {
+func copyResponse(c *call, a *answer) error {
 	w := c.w
 	if _, err := w.Write(a.head); err != nil {
 		return err
--- a/pkg/entry/bench_test.go
+++ b/pkg/entry/bench_test.go
@@ -15,10 +15,10 @@
 // from 1 caller and from 64 concurrent callers.
 func BenchmarkRequest(b *testing.B) {
 	v := startVM(b, "vm-1", nil)
-	answer := []byte(strings.Repeat("x", 1024))
+	body := []byte(strings.Repeat("x", 1024))
 	direct := v.addTarget(b, "t1", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		_, _ = w.Write(answer)
+		_, _ = w.Write(body)
 	})
 	vmAddress := v.callers.Listener.Addr().String()
 	for _, callers := range []int{1, 64} {
--- a/pkg/entry/call.go
+++ b/pkg/entry/call.go
@@ -28,7 +28,7 @@
 	// key is the idempotency key of an at-most-once request; it may be empty.
 	key string
 	// tried holds the IDs of the targets that failed or refused the request.
-	tried []string
+	triedTargets []string
 	// watch is nil for open routes, and for calls from peers because the VM that
 	// admitted the request watches the key.
 	watch *keyWatch
--- a/pkg/entry/check.go
+++ b/pkg/entry/check.go
@@ -12,8 +12,8 @@
 
 const (
 	maxRequestIDBytes = 128
-	// minSecretBytes is the length from which a part of a key is searched for on its
-	// own.
+	// minSecretBytes is the minimum length of a credential, or of the secret in it, that
+	// is searched for literally.
 	minSecretBytes = 8
 	// maxUnescapes bounds how often a value is unescaped when it is searched for a
 	// key.
--- a/pkg/entry/handover.go
+++ b/pkg/entry/handover.go
@@ -39,7 +39,7 @@
 }
 
 // handOver sends the call to a peer. ticket is the call's idempotency key if the peer
-// must run it under its ticket, and empty otherwise.
+// must run the call because it issued the ticket, and empty otherwise.
 func (s *Server) handOver(ctx context.Context, c *call, p *member.Peer, ticket string) *answer {
 	ctx, span := s.config.Tracer.Start(ctx, "forward.peer", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("vm", p.ID)))
@@ -71,7 +71,7 @@
 		Account:   c.accountName(),
 		Route:     c.route.Name,
 		TimeoutMs: c.remainingMS(),
-		Tried:     c.tried,
+		Tried:     c.triedTargets,
 		Ticket:    ticket,
 		FromVm:    s.config.Members.View().Self.ID,
 	})
@@ -81,8 +81,8 @@
 	return base64.StdEncoding.EncodeToString(b)
 }
 
-// peerAnswer converts a peer's response to the target's response or the refusal that
-// it contains.
+// peerAnswer converts a peer's response to the answer that it contains: the target's
+// response or a refusal.
 func peerAnswer(a *answer) *answer {
 	switch a.outcome {
 	case outcome.Done.String():
@@ -156,7 +156,7 @@
 	ctx := traceContext.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := s.config.Tracer.Start(ctx, "peer.request", trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
-	s.answer(ctx, c)
+	s.runAndDeliver(ctx, c)
 }
 
 func parseHandOver(r *http.Request) (*peerpb.HandOver, error) {
@@ -185,18 +185,18 @@
 	request := *r
 	request.URL = withoutRunPrefix(r.URL)
 	c := &call{
-		id:         h.GetRequestId(),
-		responseID: h.GetRequestId(),
-		route:      route,
-		account:    accountByName(snapshot, h.GetAccount()),
-		deadline:   arrived.Add(time.Duration(h.GetTimeoutMs()) * time.Millisecond),
-		handedOver: true,
-		key:        h.GetTicket(),
-		tried:      h.GetTried(),
-		w:          w,
-		r:          &request,
-		header:     r.Header.Clone(),
-		body:       newBody(w, r, s.config.Limits.MaxBodyBytes),
+		id:           h.GetRequestId(),
+		responseID:   h.GetRequestId(),
+		route:        route,
+		account:      accountByName(snapshot, h.GetAccount()),
+		deadline:     arrived.Add(time.Duration(h.GetTimeoutMs()) * time.Millisecond),
+		handedOver:   true,
+		key:          h.GetTicket(),
+		triedTargets: h.GetTried(),
+		w:            w,
+		r:            &request,
+		header:       r.Header.Clone(),
+		body:         newBody(w, r, s.config.Limits.MaxBodyBytes),
 	}
 	removeHopByHop(c.header)
 	return c, nil
--- a/pkg/entry/locate.go
+++ b/pkg/entry/locate.go
@@ -34,8 +34,8 @@
 	Weight int `json:"weight"`
 }
 
-// locateAnswer lists the VMs that the caller should use, in order of preference.
-type locateAnswer struct {
+// locateResponse lists the VMs that the caller should use, in order of preference.
+type locateResponse struct {
 	VMs   []locatedVM `json:"vms"`
 	TTLMS int64       `json:"ttl_ms"`
 	// Ticket is the prefix of idempotency keys for requests that this VM runs without
@@ -60,7 +60,7 @@
 		s.refuse(w, r, id, notReadyRefusal())
 		return nil
 	}
-	answer := locateAnswer{TTLMS: s.config.Limits.LocateTTL.Milliseconds()}
+	response := locateResponse{TTLMS: s.config.Limits.LocateTTL.Milliseconds()}
 	nearRegion := s.nearestRegion(r)
 	var homes []string
 	if header := r.Header.Get("Authorization"); header != "" {
@@ -72,14 +72,14 @@
 		}
 		if refusal == nil {
 			homes = s.homesOf(account)
-			answer.Ticket = s.session.Issue(account.Name)
-			answer.TicketTTLMS = claim.TicketTTL.Milliseconds()
-			answer.TicketVM = s.config.Members.View().Self.ID
+			response.Ticket = s.session.Issue(account.Name)
+			response.TicketTTLMS = claim.TicketTTL.Milliseconds()
+			response.TicketVM = s.config.Members.View().Self.ID
 		}
 	}
 	w.Header().Set("Cache-Control", "private, max-age="+retrySeconds(s.config.Limits.LocateTTL))
-	answer.VMs = orderVMs(s.config.Members.View(), nearRegion, homes, rand.Float64)
-	return c.JSON(http.StatusOK, answer)
+	response.VMs = orderVMs(s.config.Members.View(), nearRegion, homes, rand.Float64)
+	return c.JSON(http.StatusOK, response)
 }
 
 // nearestRegion returns the region of the caller's address block. If there is none, it
@@ -137,8 +137,8 @@
 			c.homeRank = len(homes)
 			c.Weight = totalPermits(&p)
 		}
-		// Each of several exponential variables with rates w is the smallest with a
-		// probability proportional to its w.
+		// Of several exponential random variables, the probability that a given one is
+		// the smallest is proportional to its rate, here the weight.
 		c.randomRank = randomExponential(random) / float64(c.Weight)
 		candidates = append(candidates, c)
 	}
--- a/pkg/entry/locate_test.go
+++ b/pkg/entry/locate_test.go
@@ -35,12 +35,12 @@
 
 func (v *vm) locate(t *testing.T, headers ...string) []locatedVM {
 	t.Helper()
-	var answer locateAnswer
+	var response locateResponse
 	got := v.send(t, "GET", locatePath, "", headers...)
-	if err := json.Unmarshal([]byte(got.body), &answer); err != nil {
+	if err := json.Unmarshal([]byte(got.body), &response); err != nil {
 		t.Fatalf("%s: %v", got.body, err)
 	}
-	return answer.VMs
+	return response.VMs
 }
 
 func TestLocateTiers(t *testing.T) {
@@ -90,11 +90,11 @@
 	}
 	random := rand.New(rand.NewPCG(1, 2)).Float64
 	first := map[string]int{}
-	const answers = 4000
-	for range answers {
+	const responses = 4000
+	for range responses {
 		first[orderVMs(view, "r1", nil, random)[0].ID]++
 	}
-	if first["c"] != 0 || first["a"] < answers*70/100 || first["a"] > answers*80/100 {
-		t.Errorf("first VM of %d responses: %v, want 75 %% a, 25 %% b", answers, first)
+	if first["c"] != 0 || first["a"] < responses*70/100 || first["a"] > responses*80/100 {
+		t.Errorf("first VM of %d responses: %v, want 75 %% a, 25 %% b", responses, first)
 	}
 }
--- a/pkg/entry/once.go
+++ b/pkg/entry/once.go
@@ -13,10 +13,9 @@
 
 const (
 	maxIdempotencyKeyBytes = 512
-	// Larger responses are not recorded. A retry of their request gets only their
-	// status.
-	maxKeptBodyBytes   = 8 << 10
-	maxKeptHeaderBytes = 4 << 10
+	// Of a response with a larger body or header, only the status is recorded.
+	maxRecordedBodyBytes   = 8 << 10
+	maxRecordedHeaderBytes = 4 << 10
 	// claimTimeout bounds the time to claim a request in the table.
 	claimTimeout = 2 * time.Second
 	// runningRetryAfter is the Retry-After for a request that is still running.
@@ -69,6 +68,7 @@
 	return s.correctOutcomeOf(c.claimID(), refusal)
 }
 
+// correctOutcomeOf is correctOutcome for a request that is identified by its claim ID.
 func (s *Server) correctOutcomeOf(id claim.ID, refusal *outcome.Refusal) *outcome.Refusal {
 	if refusal.Outcome != outcome.NotRun {
 		return refusal
@@ -117,12 +117,12 @@
 		return s.fromRecord(record)
 	}
 	a := s.runWithRetries(ctx, c)
-	a.onEnd(func(state claim.State, kept claim.Response) {
+	a.recordWhenComplete(func(state claim.State, response claim.Response) {
 		if c.route.Open {
 			// Any caller may send the same key, but only one may see the response.
-			kept = claim.Response{Status: kept.Status}
+			response = claim.Response{Status: response.Status}
 		}
-		claimed.Finish(state, kept)
+		claimed.Finish(state, response)
 	})
 	return a
 }
@@ -143,7 +143,7 @@
 	}
 	a := s.runWithRetries(ctx, c)
 	id := c.claimID()
-	a.onEnd(func(state claim.State, kept claim.Response) { s.session.Finish(id, state, kept) })
+	a.recordWhenComplete(func(state claim.State, response claim.Response) { s.session.Finish(id, state, response) })
 	return a
 }
 
@@ -170,14 +170,14 @@
 	return nil
 }
 
-// onEnd calls finish with the result to record: immediately, or at the end of a
-// streamed response.
-func (a *answer) onEnd(finish func(claim.State, claim.Response)) {
+// recordWhenComplete calls record with the state and the response to record:
+// immediately, or at the end of a streamed response.
+func (a *answer) recordWhenComplete(record func(claim.State, claim.Response)) {
 	if a.stream != nil {
-		a.recordEnd = finish
+		a.recordEnd = record
 		return
 	}
-	finish(a.toRecord())
+	record(a.toRecord())
 }
 
 // toRecord returns the state and the response to record for an answer that is not
@@ -189,13 +189,13 @@
 		}
 		return claim.Ended, claim.Response{}
 	}
-	kept := claim.Response{Status: a.status}
-	if len(a.head) > maxKeptBodyBytes || headerFieldBytes(a.header) > maxKeptHeaderBytes {
-		return claim.Done, kept
+	response := claim.Response{Status: a.status}
+	if len(a.head) > maxRecordedBodyBytes || headerFieldBytes(a.header) > maxRecordedHeaderBytes {
+		return claim.Done, response
 	}
-	kept.Stored, kept.Header, kept.Body = true, a.header.Clone(), a.head
-	kept.Header.Del(headerRequestID)
-	return claim.Done, kept
+	response.Stored, response.Header, response.Body = true, a.header.Clone(), a.head
+	response.Header.Del(headerRequestID)
+	return claim.Done, response
 }
 
 // fromRecord returns the answer to a call whose idempotency key was used before.
--- a/pkg/entry/once_test.go
+++ b/pkg/entry/once_test.go
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// killableTable is the table of a VM that is killed before or after its nth transaction
-// takes effect: the transaction does not return until release is closed.
+// killableTable is the table of a VM that is killed before or after one of its transactions
+// takes effect: that transaction does not return until release is closed.
 type killableTable struct {
 	*memoryTable
 	// killed is closed when the transaction at which the VM is killed is reached.
@@ -272,11 +272,11 @@
 // ticket returns a ticket of the VM.
 func (v *vm) ticket(t testing.TB) string {
 	t.Helper()
-	var answer locateAnswer
-	if err := json.Unmarshal([]byte(v.send(t, "GET", locatePath, "").body), &answer); err != nil {
+	var response locateResponse
+	if err := json.Unmarshal([]byte(v.send(t, "GET", locatePath, "").body), &response); err != nil {
 		t.Fatal(err)
 	}
-	return answer.Ticket
+	return response.Ticket
 }
 
 // setPeers makes the other VMs, in the given state, the VM's peers.
@@ -393,8 +393,8 @@
 	}
 }
 
-// TestRefusedRetryIsNotReportedAsNotRun checks that a request that is refused says
-// "unknown" if an earlier request with the same idempotency key ran.
+// TestRefusedRetryIsNotReportedAsNotRun checks that a refusal has the outcome "unknown" if
+// an earlier request with the same idempotency key ran.
 func TestRefusedRetryIsNotReportedAsNotRun(t *testing.T) {
 	table := newMemoryTable()
 	var runs atomic.Int32
--- a/pkg/entry/poison.go
+++ b/pkg/entry/poison.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// recordDeath records that a target died while it ran the call. It reports the death to
-// the peers unless a peer has reported it already.
+// recordDeath records that a target died while it ran the call. If the death is new
+// and makes the request suspect, it also reports the death to the peers.
 func (s *Server) recordDeath(c *call, a *answer) {
 	target, _, _ := strings.Cut(a.deathID, deathSeparator)
 	f := quarantine.NewFingerprint(c.baseHash(), c.body.peek(0))
--- a/pkg/entry/serve.go
+++ b/pkg/entry/serve.go
@@ -51,11 +51,11 @@
 	if c.body != nil && c.watch != nil {
 		c.body.check = c.watch.check
 	}
-	s.answer(ctx, c)
+	s.runAndDeliver(ctx, c)
 }
 
-// answer runs the call and delivers the resulting answer.
-func (s *Server) answer(ctx context.Context, c *call) {
+// runAndDeliver runs the call and delivers the resulting answer.
+func (s *Server) runAndDeliver(ctx context.Context, c *call) {
 	if c.key != "" {
 		// The answer is recorded for retries by the caller, so the request
 		// continues after the caller has disconnected.
@@ -144,7 +144,7 @@
 		Route:      c.route,
 		Deadline:   c.deadline,
 		HandedOver: c.handedOver,
-		Tried:      c.tried,
+		Tried:      c.triedTargets,
 	}
 	if c.account != nil {
 		r.Weight = c.account.Weight
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -64,8 +64,8 @@
 	Members      member.Source
 	// Match returns the route of a request, or nil if there is none.
 	Match func(c *config.Config, method, path string) *config.Route
-	// Homes returns the IDs of the VMs that hold most of an account's rate limit,
-	// the most likely one first. Nil means that there are none.
+	// Homes returns the IDs of the VMs that are the most likely to hold tokens of an
+	// account's rate limit, the likeliest first. Nil means that there are none.
 	Homes func(account string) []string
 	// RegionOf returns the region nearest to a caller's address. Nil means that
 	// callers are nearest to the region of the VM that they ask.
--- a/pkg/entry/silence.go
+++ b/pkg/entry/silence.go
@@ -41,7 +41,7 @@
 }
 
 // mayAnswer reports whether the peer may still answer. It returns true for a peer that is
-// not in the view, because that was removed from the view or is not in it yet.
+// not in the view: the peer was removed from the view or is not in it yet.
 func mayAnswer(view *member.View, incarnation string) bool {
 	for i := range view.Peers {
 		if p := &view.Peers[i]; p.Incarnation == incarnation {
--- a/pkg/entry/target.go
+++ b/pkg/entry/target.go
@@ -19,7 +19,7 @@
 	"crocusramp.dev/crocusramp/pkg/outcome"
 )
 
-// failedRetryAfter is the Retry-After for requests that failed at a target or a
+// targetFailedRetryAfter is the Retry-After for requests that failed at a target or a
 // peer.
 const targetFailedRetryAfter = time.Second
 
@@ -33,7 +33,7 @@
 	c.setTargetHeaders(req.Header)
 	a, err := exchange(ctx, s.client, c, req, g.Target.Address, s.config.RequireEcho(c.route.Pool))
 	if err != nil {
-		c.tried = append(c.tried, g.Target.ID)
+		c.triedTargets = append(c.triedTargets, g.Target.ID)
 		a = failureAnswer(err)
 		if err.ConnectionClosed {
 			a.deathID = newDeathID(g.Target.ID)
@@ -43,7 +43,7 @@
 	}
 	a.outcome, a.deathID = "", "" // only peers may set these headers
 	if isShed(a) {
-		c.tried = append(c.tried, g.Target.ID)
+		c.triedTargets = append(c.triedTargets, g.Target.ID)
 		a.closeStream()
 		a = shedAnswer(a)
 	}
@@ -62,7 +62,7 @@
 	if doErr != nil {
 		return nil, doErr
 	}
-	a, err := readAnswer(resp)
+	a, err := readResponse(resp)
 	if err != nil {
 		ctxErr := ctx.Err()
 		resp.Close()
--- a/pkg/entry/withdrawal.go
+++ b/pkg/entry/withdrawal.go
@@ -36,8 +36,8 @@
 }
 
 // check returns errKeyWithdrawn if the key was withdrawn. It authenticates again when the
-// configuration has changed. A stale configuration counts as fresh here: staleness only
-// refuses new requests.
+// configuration has changed. It accepts a stale configuration, because staleness must
+// only block new requests.
 func (k *keyWatch) check() error {
 	snapshot := k.source.Snapshot()
 	k.mu.Lock()
