--- a/pkg/dispatch/config.go
+++ b/pkg/dispatch/config.go
@@ -21,10 +21,11 @@
 	Pools   []target.Pool
 	Self    member.Peer
 	Members member.Source
-	Slots   lease.Holder
-	Config  config.Source
-	Clock   clock.Clock
-	Log     zerolog.Logger
+	// Slots publishes the lease slots that this VM holds.
+	Slots  lease.Holder
+	Config config.Source
+	Clock  clock.Clock
+	Log    zerolog.Logger
 	// Metrics may be nil.
 	Metrics metrics.Registry
 
@@ -64,9 +65,9 @@
 	// PollInterval is how often a target's load and health are polled;
 	// default 1 s. A negative value disables polling.
 	PollInterval time.Duration
-	// HTTP is the client that polls load and health; by default one that opens at
-	// most one connection to a target at a time.
-	HTTP *http.Client
+	// PollClient polls load and health. The default opens at most one connection to a
+	// target at a time.
+	PollClient *http.Client
 	// Seed makes random choices reproducible; 0 derives the seed from Self.
 	Seed uint64
 }
@@ -105,8 +106,8 @@
 	setDefault(&c.MaxHoldDown, defaultMaxHoldDown)
 	setDefault(&c.TickInterval, defaultTickInterval)
 	setDefault(&c.PollInterval, defaultPollInterval)
-	if c.HTTP == nil {
-		c.HTTP = newPollClient()
+	if c.PollClient == nil {
+		c.PollClient = newPollClient()
 	}
 	return c
 }
--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -26,7 +26,7 @@
 	// HandedOver is set if a peer handed the request over to this VM. Such a request
 	// is never handed over again.
 	HandedOver bool
-	// Tried holds the IDs of the targets on which an earlier attempt failed.
+	// Tried holds the IDs of the targets that failed or refused an earlier attempt.
 	Tried []string
 }
 
--- a/pkg/dispatch/peers.go
+++ b/pkg/dispatch/peers.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// refusedPauseBase is how long a peer that refused a request of a pool gets no
-	// overflow of that pool. The pause doubles with each consecutive refusal.
+	// refusedPauseBase is how long this VM hands over no requests of a pool to a peer
+	// that refused one, unless this VM has no usable target. The pause doubles with each
+	// consecutive refusal.
 	refusedPauseBase = 50 * time.Millisecond
 	refusedPauseMax  = time.Second
 
@@ -156,9 +157,9 @@
 	return best
 }
 
-// reportedRoom returns a function for the room of a peer for overflow of this VM: the
-// free permits in its last heartbeat minus the requests that this VM has handed over to
-// it since. A peer that is paused after a refusal has no room.
+// reportedRoom returns a function that estimates how many more requests of this VM a peer
+// can run: the free permits in the peer's last heartbeat minus the requests that this VM
+// has handed over to it since. A peer that is paused after a refusal has no room.
 func (p *peers) reportedRoom(now clock.Time) func(*member.Peer) float64 {
 	return func(peer *member.Peer) float64 {
 		free := peer.FreePermits
@@ -217,8 +218,8 @@
 	}
 }
 
-// recordSuccess ends the row of refusals and grows the window if at least half of it was
-// in use. running includes the request that succeeded.
+// recordSuccess resets the count of consecutive refusals and grows the window if at least
+// half of it was in use. running includes the request that succeeded.
 func (s *peerState) recordSuccess(running int) {
 	s.refusals = 0
 	if float64(running) >= s.window/2 {
--- a/pkg/dispatch/permits_test.go
+++ b/pkg/dispatch/permits_test.go
@@ -13,7 +13,7 @@
 	"crocusramp.dev/crocusramp/pkg/target"
 )
 
-// runningRequest is a running request of the property test, which ends by its deadline.
+// runningRequest is a request that runs in the property test. It ends by its deadline.
 type runningRequest struct {
 	vm         int
 	assignment *assignment
@@ -109,12 +109,12 @@
 			"": func(t *rapid.T) {
 				total := map[string]int{}
 				for vm, p := range pools {
-					for _, b := range p.localTargets {
-						total[b.ID] += b.running
-						if n := total[b.ID]; n > b.Slots {
-							t.Fatalf("target %s runs %d requests, more than its %d slots", b.ID, n, b.Slots)
+					for _, local := range p.localTargets {
+						total[local.ID] += local.running
+						if n := total[local.ID]; n > local.Slots {
+							t.Fatalf("target %s runs %d requests, more than its %d slots", local.ID, n, local.Slots)
 						}
-						if limit := max(b.running, permit.Connections(b.Target, b.held)); limit > b.Connections {
+						if limit := max(local.running, permit.Connections(local.Target, local.held)); limit > local.Connections {
 							t.Fatalf("VM %d needs %d connections to one target, more than the target accepts", vm, limit)
 						}
 					}
@@ -133,9 +133,9 @@
 		for _, id := range s.ids {
 			sum := 0
 			for _, vm := range s.vms {
-				for _, b := range vm.pool.localTargets {
-					if b.ID == id {
-						sum += permit.Connections(b.Target, b.held)
+				for _, local := range vm.pool.localTargets {
+					if local.ID == id {
+						sum += permit.Connections(local.Target, local.held)
 					}
 				}
 			}
--- a/pkg/dispatch/policy_test.go
+++ b/pkg/dispatch/policy_test.go
@@ -369,21 +369,21 @@
 	done, ended int
 }
 
-func (e kindSummary) String() string {
-	return fmt.Sprintf("p50 %4d  p99 %5d ms, done %d of %d", e.p50.Milliseconds(), e.p99.Milliseconds(), e.done, e.ended)
+func (k kindSummary) String() string {
+	return fmt.Sprintf("p50 %4d  p99 %5d ms, done %d of %d", k.p50.Milliseconds(), k.p99.Milliseconds(), k.done, k.ended)
 }
 
 func (s *sim) summarizeKind(prefix string) kindSummary {
-	var e kindSummary
+	var k kindSummary
 	var latency []time.Duration
 	for name, t := range s.results {
 		if strings.HasPrefix(name, prefix) {
 			latency = append(latency, t.latency...)
-			e.done, e.ended = e.done+t.done, e.ended+t.done+t.refused
+			k.done, k.ended = k.done+t.done, k.ended+t.done+t.refused
 		}
 	}
 	if slices.Sort(latency); len(latency) > 0 {
-		e.p50, e.p99 = latency[len(latency)/2], latency[len(latency)*99/100]
+		k.p50, k.p99 = latency[len(latency)/2], latency[len(latency)*99/100]
 	}
-	return e
+	return k
 }
--- a/pkg/dispatch/poll.go
+++ b/pkg/dispatch/poll.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	resp, err := s.config.HTTP.Do(req)
+	resp, err := s.config.PollClient.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -18,13 +18,12 @@
 )
 
 const (
-	// retryHistorySize is the number of requests that may be retried to remember.
+	// retryHistorySize is how many requests that may be retried a pool remembers.
 	retryHistorySize = 4096
 	// lowReserveDivisor sets the fraction of the permits that requests of the low
 	// class leave free: 1/lowReserveDivisor.
 	lowReserveDivisor = 5
-	// lowReserveTime is how long they leave them free after the last request of a higher
-	// class.
+	// lowReserveTime is how long after the last request of a higher class they do so.
 	lowReserveTime = 10 * time.Second
 	// minRetryAfter and maxRetryAfter bound the retry delay in refusals.
 	minRetryAfter = 50 * time.Millisecond
--- a/pkg/dispatch/release.go
+++ b/pkg/dispatch/release.go
@@ -10,8 +10,8 @@
 	"crocusramp.dev/crocusramp/pkg/outcome"
 )
 
-// release ends an assignment: it returns the permit or the place at the peer and records
-// the result for health, latency, shifts and retries.
+// release ends an assignment: it returns the permit or counts the end of the hand-over,
+// and records the result for health, latency, shifts and retries.
 func (p *pool) release(in inputs, a *assignment, res Result) {
 	if res.Outcome != outcome.Done && a.request.ID != "" {
 		refusedBy := a.request.refusedBy
--- a/pkg/dispatch/scheduler.go
+++ b/pkg/dispatch/scheduler.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// FreePermits returns how many more requests could now be granted a target of this VM, over all
-// pools.
+// FreePermits returns how many more requests could now be granted a target of this VM's
+// region, over all pools.
 func (s *Scheduler) FreePermits() int {
 	in := s.inputs()
 	n := 0
@@ -170,9 +170,9 @@
 	return n
 }
 
-// Retire stops the granting of permits of a lease slot that this VM gives up. It also
-// takes effect for calls that read the holding earlier and have not decided yet. It
-// reports whether none of the slot's permits is in use.
+// Retire stops the granting of permits of a lease slot that this VM gives up, even by a
+// call of Acquire that has already read the old holding. It reports whether none of the
+// slot's permits is in use.
 func (s *Scheduler) Retire(slot int) bool {
 	in := s.inputs()
 	idle := true
--- a/pkg/dispatch/shift.go
+++ b/pkg/dispatch/shift.go
@@ -76,7 +76,7 @@
 
 // observe records the result of a shifted request and adjusts the ramp at the end of a
 // step.
-func (s *shift) observe(now clock.Time, ok bool, latency, local time.Duration) {
+func (s *shift) observe(now clock.Time, ok bool, latency, localLatency time.Duration) {
 	if ok {
 		s.good++
 		s.latency += latency
@@ -86,18 +86,18 @@
 	if now.Sub(s.windowStart) < rampInterval || s.good+s.bad < rampSamples {
 		return
 	}
-	s.ramp = nextRamp(s.ramp, s.good, s.bad, s.latency, local)
+	s.ramp = nextRamp(s.ramp, s.good, s.bad, s.latency, localLatency)
 	s.windowStart, s.good, s.bad, s.latency = now, 0, 0, 0
 }
 
 // nextRamp returns the fraction of the cap, in thousandths, after a step with the given
-// numbers of good and bad results. latency is the sum over the good results. local is the
-// mean latency of the same requests in this region; 0 if unknown.
-func nextRamp(ramp int64, good, bad int, latency, local time.Duration) int64 {
+// numbers of good and bad results. latency is the sum over the good results. localLatency
+// is the mean latency of the same requests in this region; 0 if unknown.
+func nextRamp(ramp int64, good, bad int, latency, localLatency time.Duration) int64 {
 	slow, muchSlower := false, false
-	if good > 0 && local > 0 {
+	if good > 0 && localLatency > 0 {
 		mean := latency / time.Duration(good)
-		limit := rampSlowFactor*local + rampMargin
+		limit := rampSlowFactor*localLatency + rampMargin
 		slow, muchSlower = mean > limit, mean > limit+limit/2
 	}
 	switch {
--- a/pkg/dispatch/sim_test.go
+++ b/pkg/dispatch/sim_test.go
@@ -265,9 +265,9 @@
 	if s.report == nil {
 		return
 	}
-	for _, b := range vm.pool.localTargets {
-		if t := s.targets[b.ID]; !t.dead {
-			b.health.ApplyReport(s.now, s.report(t))
+	for _, local := range vm.pool.localTargets {
+		if t := s.targets[local.ID]; !t.dead {
+			local.health.ApplyReport(s.now, s.report(t))
 		}
 	}
 }
@@ -357,7 +357,7 @@
 	}
 	// A request may be granted more than once; each grant needs its own copy.
 	r := *c.request
-	s.acquire(vm, &r, func(l *assignment, refusal *outcome.Refusal) { c.granted(vm, l, refusal) })
+	s.acquire(vm, &r, func(a *assignment, refusal *outcome.Refusal) { c.granted(vm, a, refusal) })
 }
 
 func (c *simCall) granted(vm *simVM, a *assignment, refusal *outcome.Refusal) {
--- a/pkg/dispatch/waiting.go
+++ b/pkg/dispatch/waiting.go
@@ -51,7 +51,7 @@
 	return bound
 }
 
-// serveQueue grants free permits to the waiting requests and hands over what exceeds them.
+// serveQueue grants free permits to the waiting requests and tries to hand over the rest.
 // It must be called after every event that can free a permit on this VM or on a peer.
 func (p *pool) serveQueue(in inputs) {
 	p.update(in)
@@ -62,7 +62,7 @@
 		}
 		t := p.pick(in.now, p.queue.Peek().Value.request.Tried)
 		if t == nil {
-			// All targets with a free permit may be in Tried; use one of them then.
+			// If all targets with a free permit have been tried, use one of them again.
 			t = p.pick(in.now, nil)
 		}
 		if t == nil {
