--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestFullQueueDropsTheLongestAccount(t *testing.T) {
+func TestFullQueueDropsNewestEntryOfLongestAccount(t *testing.T) {
 	q := newQueue(10)
 	for range 10 {
 		q.Push(entry("flood", 1, Normal))
