--- a/pkg/block/block_test.go
+++ b/pkg/block/block_test.go
@@ -31,8 +31,8 @@
 			t.Errorf("%s: got %q, %v, want %q", address, got, ok, want)
 		}
 	}
-	if site, ok := table.Lookup(netip.MustParseAddr("2001:db9::1")); ok {
-		t.Errorf("address outside all blocks has site %q", site)
+	if region, ok := table.Lookup(netip.MustParseAddr("2001:db9::1")); ok {
+		t.Errorf("address outside all blocks has region %q", region)
 	}
 }
 
@@ -88,13 +88,13 @@
 	return netip.AddrFrom4(b)
 }
 
-// disjointBlocks returns n disjoint /24 blocks spread over 1,300 sites.
+// disjointBlocks returns n disjoint /24 blocks spread over 1,300 regions.
 func disjointBlocks(n int) []Block {
 	r := rand.New(rand.NewPCG(1, 1))
 	blocks := make([]Block, n)
 	for i := range blocks {
 		p := netip.PrefixFrom(v4(uint32(i)*8<<8), 24)
-		blocks[i] = Block{p, fmt.Sprint("site-", r.IntN(1300))}
+		blocks[i] = Block{p, fmt.Sprint("region-", r.IntN(1300))}
 	}
 	return blocks
 }
