--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -17,13 +17,13 @@
 	// Until is when the VM must stop using the slot unless it renews the lease. The
 	// margin for clock drift is already subtracted.
 	Until clock.Time
-	// New reports that the slot had no holder before this VM. Otherwise, parts of it that
-	// a former holder granted or lent may still be in use.
+	// New reports that nothing that a former holder granted or lent of the slot can still
+	// be in use, for example because the slot had no holder before this VM.
 	New bool
 	// Idle reports that no request ran under the slot when the last holder released it.
 	Idle bool
-	// Kept slots are never lent. Hence no other VM can use a part of such a slot, and the
-	// next process of its VM may use it immediately.
+	// Kept reports that no part of the slot is ever lent. Hence no other VM can use a part
+	// of it, and the next process of its VM may use the slot immediately.
 	Kept bool
 }
 
--- a/pkg/lease/state.go
+++ b/pkg/lease/state.go
@@ -61,6 +61,8 @@
 	since   clock.Time
 	until   clock.Time
 	renewed clock.Time
+	// created is set if the slot had no row before this VM acquired it; idle is set if its
+	// last holder marked it idle.
 	created bool
 	idle    bool
 }
@@ -74,7 +76,7 @@
 	since clock.Time
 }
 
-// attempt is a write that takes or renews a slot and whose outcome may be unknown.
+// attempt is a write that acquires or renews a slot and whose outcome may be unknown.
 type attempt struct {
 	counter int64
 	sent    clock.Time
