--- a/pkg/entry/poison_test.go
+++ b/pkg/entry/poison_test.go
@@ -80,6 +80,8 @@
 	}
 }
 
+// TestHarmlessRequestIsServed checks that a request is still served, and not quarantined,
+// after a single target closed its connection while it ran the request.
 func TestHarmlessRequestIsServed(t *testing.T) {
 	var deaths atomic.Int32
 	v := startVM(t, "vm-1", nil)
