--- a/pkg/dispatch/waiting.go
+++ b/pkg/dispatch/waiting.go
@@ -13,8 +13,8 @@
 	"crocusramp.dev/crocusramp/pkg/queue"
 )
 
-// enqueue queues the request. It refuses it if its time is over, if no target can run it
-// or if the queue is full.
+// enqueue queues the request, or refuses it if its deadline has passed, if no target can
+// run it or if the queue is full.
 func (p *pool) enqueue(in inputs, r *request) (*assignment, *waiter, *outcome.Refusal) {
 	bound := p.maxWait(in.now, r)
 	if bound <= 0 {
@@ -177,8 +177,8 @@
 	return peer == nil
 }
 
-// hasNoUsableTarget reports whether no local target will accept requests for some time: in
-// addition to hasNoOpenTarget, it leaves out targets that are ejected.
+// hasNoUsableTarget reports whether no local target will accept requests for some time.
+// Unlike hasNoOpenTarget, it also counts ejected targets as not accepting requests.
 func (p *pool) hasNoUsableTarget(now clock.Time) bool {
 	for _, t := range p.localTargets {
 		if t.held > 0 && !t.drained && !t.health.ReportedDraining(now) && !t.health.Ejected() {
