--- a/pkg/route/match.go
+++ b/pkg/route/match.go
@@ -29,7 +29,8 @@
 }
 
 // takesPrecedence reports whether r takes precedence over best: the longer prefix wins,
-// and among equal lengths the lesser name, so that all VMs choose the same route.
+// and among equal lengths the name that sorts first, so that all VMs choose the same
+// route.
 func takesPrecedence(r, best *config.Route) bool {
 	if len(r.PathPrefix) != len(best.PathPrefix) {
 		return len(r.PathPrefix) > len(best.PathPrefix)
