--- a/pkg/dispatch/shift.go
+++ b/pkg/dispatch/shift.go
@@ -33,9 +33,9 @@
 
 // shift counts the requests of one traffic shift on this VM. Each seen request adds
 // credit for at most cap requests, where cap is the shift's cap as a fraction of 1, and
-// each shifted request costs the credit of one. Hence shifted <= floor(cap * seen) after every request. Since
-// the sum of these floors over the VMs is at most the floor of the sum, the cap also
-// holds for the whole fleet.
+// each shifted request costs the credit of one. Hence shifted <= floor(cap * seen) after
+// every request. Since the sum of these floors over the VMs is at most the floor of the
+// sum, the cap also holds for the whole fleet.
 type shift struct {
 	config.Shift
 	seen    int64
