--- a/pkg/lease/state_test.go
+++ b/pkg/lease/state_test.go
@@ -241,7 +241,7 @@
 	}
 	for _, s := range next.holding() {
 		if s.New || s.Idle != (s.Index%2 == 0) {
-			t.Errorf("slot %d: without a former holder: %v, idle: %v; want false, and idle if its index is even", s.Index, s.New, s.Idle)
+			t.Errorf("slot %d: settled %v, idle %v; want not settled, and idle if its index is even", s.Index, s.New, s.Idle)
 		}
 	}
 	third := c.add("vm-third", "a", 4, []string{"a"})
@@ -297,7 +297,7 @@
 	}
 	for _, s := range c.vms[0].holding() {
 		if s.New && s.Index%2 == 0 {
-			t.Errorf("slot %d is reported to be without a former holder although it had one", s.Index)
+			t.Errorf("slot %d is marked settled although it had a holder", s.Index)
 		}
 	}
 }
