--- a/pkg/lease/manager.go
+++ b/pkg/lease/manager.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	defaultSlots    = 16
-	defaultDuration = 15 * time.Minute
-	defaultPoll     = time.Second
+	defaultSlots        = 16
+	defaultDuration     = 15 * time.Minute
+	defaultPollInterval = time.Second
 	// marginDivisor makes the default margin 1/50 of the lease duration: the speeds of
 	// two clocks may differ by 2 %.
 	marginDivisor = 50
@@ -84,7 +84,7 @@
 		c.Margin = c.Duration / marginDivisor
 	}
 	if c.Poll == 0 {
-		c.Poll = defaultPoll
+		c.Poll = defaultPollInterval
 	}
 	if c.Metrics == nil {
 		c.Metrics = metrics.NewRegistry()
