--- a/pkg/ingress/call.go
+++ b/pkg/ingress/call.go
@@ -44,13 +44,14 @@
 	cachedHash uint64
 
 	body []byte // buffered body
-	// stream is a body that is forwarded while it arrives, streamHead the part of it that was read
-	// before, and streamHash the hash of what was forwarded.
-	stream     io.ReadCloser
+	// bodyStream is a body that is forwarded while it arrives, streamHead the part of it that was
+	// read before it was prepared for streaming, and streamHash the hash of what was forwarded.
+	// streamed is set once bodyStream was handed to an attempt.
+	bodyStream io.ReadCloser
 	streamHead []byte
 	streamHash *bodyHash
 	streamed   bool
-	// bodyPrepared is set once body or stream holds the request's body.
+	// bodyPrepared is set once body or bodyStream holds the request's body.
 	bodyPrepared bool
 
 	cancel context.CancelCauseFunc
@@ -91,13 +92,13 @@
 	decision      *retry.TakeResult // nil if the budget was not asked
 }
 
-// answer is the response that the caller gets.
+// answer is what the caller gets: a target's response or one that this VM generated.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 	// stream, if set, is sent after body.
-	stream     *streamedAnswer
+	stream     *streamedResponse
 	reason     outcome.Reason
 	detail     string
 	retryAfter time.Duration
@@ -137,8 +138,8 @@
 	return d
 }
 
-// objective returns the time within which an answer is worth most. It is the route's latency
-// objective or, without one, the timeout.
+// objective returns the time within which the caller should get its answer; a later answer is worth
+// less. It is the route's latency objective or, without one, the timeout.
 func (c *call) objective() time.Duration {
 	if c.route.Objective > 0 {
 		return c.route.Objective
@@ -193,7 +194,7 @@
 		return nil
 	}
 	c.bodyPrepared = true
-	bufferLimit := int64(max(maxBufferedBody, c.bytesToJudge()))
+	bufferLimit := int64(max(maxBufferedBody, c.bytesToAssess()))
 	c.progress.enter(stageBody, "")
 	limit := c.state.CallerLimits.MaxBodyBytes
 	if limit > 0 && c.r.ContentLength > limit {
@@ -234,7 +235,7 @@
 // read.
 func (c *call) streamBody(head []byte) {
 	c.streamHead, c.streamHash = head, newBodyHash()
-	c.stream = readCloser{io.TeeReader(io.MultiReader(bytes.NewReader(head), c.r.Body), c.streamHash), c.r.Body}
+	c.bodyStream = readCloser{io.TeeReader(io.MultiReader(bytes.NewReader(head), c.r.Body), c.streamHash), c.r.Body}
 }
 
 // abortBodyRead unblocks a pending read of the caller's body. The caller's connection cannot carry
@@ -254,10 +255,10 @@
 	reachedEOF *atomic.Bool
 }
 
-func (n eofRecorder) Read(p []byte) (int, error) {
-	size, err := n.ReadCloser.Read(p)
+func (r eofRecorder) Read(p []byte) (int, error) {
+	size, err := r.ReadCloser.Read(p)
 	if err == io.EOF {
-		n.reachedEOF.Store(true)
+		r.reachedEOF.Store(true)
 	}
 	return size, err
 }
@@ -294,9 +295,9 @@
 		URL: requestURL(c.r),
 	}
 	switch {
-	case c.stream != nil:
+	case c.bodyStream != nil:
 		c.streamed = true
-		out.Body, out.ContentLength = c.stream, c.r.ContentLength
+		out.Body, out.ContentLength = c.bodyStream, c.r.ContentLength
 	case len(c.body) > 0:
 		out.Body, out.ContentLength = io.NopCloser(bytes.NewReader(c.body)), int64(len(c.body))
 	}
@@ -352,13 +353,13 @@
 	}
 }
 
-// endlessAnswerBytes is how many bytes of an answer of unknown length may arrive before the
-// caller's timeout. An answer that has reached this size by then is treated as endless.
-const endlessAnswerBytes = 16 << 20
+// endlessResponseBytes is how many bytes of a response of unknown length may arrive before the
+// caller's timeout. A response that has reached this size by then is treated as endless.
+const endlessResponseBytes = 16 << 20
 
-// copyStream forwards an answer that is too long to be buffered. If the answer breaks off, the
+// copyStream forwards a response that is too long to be buffered. If the response breaks off, the
 // caller must be able to tell.
-func (c *call) copyStream(ctx context.Context, stream *streamedAnswer) {
+func (c *call) copyStream(ctx context.Context, stream *streamedResponse) {
 	defer stream.Close()
 	// Once its answer has begun, a caller keeps waiting beyond the route's timeout.
 	timeout := maxTimeout
@@ -373,10 +374,10 @@
 	}
 	cause := context.Cause(ctx)
 	truncated := cause == nil && stream.readFailed
-	endless := errors.Is(cause, context.DeadlineExceeded) && stream.ContentLength < 0 && n >= endlessAnswerBytes
+	endless := errors.Is(cause, context.DeadlineExceeded) && stream.ContentLength < 0 && n >= endlessResponseBytes
 	suspect := (truncated || endless) && stream.target.RecordIncompleteStream()
 	c.s.cfg.Log.Info().Str("request", c.info.ID).Str("target", stream.target.ID).Err(err).Int64("bytes", n).
-		Bool("broke_off", truncated).Bool("endless", endless).Bool("suspect", suspect).Msg("answer did not complete")
+		Bool("broke_off", truncated).Bool("endless", endless).Bool("suspect", suspect).Msg("streamed response did not complete")
 	c.abort()
 }
 
--- a/pkg/ingress/demand.go
+++ b/pkg/ingress/demand.go
@@ -16,8 +16,8 @@
 	durationWeight = 0.02
 )
 
-// demand estimates how many slots the requests to each pool need: their rate
-// times their mean duration (Little's law). Refused requests count too.
+// demand estimates how many slots the requests to each pool need: their rate times their mean
+// duration (Little's law). Refused requests count too.
 type demand struct {
 	mu    sync.Mutex
 	pools map[demandKey]*poolDemand
@@ -76,8 +76,8 @@
 	p.arrivals++
 }
 
-// observeDuration records how long a request occupied a slot of a target.
-func (d *demand) observeDuration(key demandKey, t time.Duration) {
+// recordDuration records how long a request occupied a slot of a target.
+func (d *demand) recordDuration(key demandKey, t time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p := d.pool(key)
--- a/pkg/ingress/fakes_test.go
+++ b/pkg/ingress/fakes_test.go
@@ -28,11 +28,11 @@
 
 // The headers of the tests' Wire.
 const (
-	hID, hTimeout, hKey, hObject       = "Test-Id", "Test-Patience", "Test-Key", "Test-Object"
+	hID, hTimeout, hKey, hObject       = "Test-Id", "Test-Timeout", "Test-Key", "Test-Object"
 	hInstance, hAccount                = "Test-Instance", "Test-Account"
 	hSeal, hNotRun, hLoad, hCold       = "Test-Seal", "Test-Not-Run", "Test-Load", "Test-Cold"
 	hRetryAfter, hLimit                = "Test-Retry-After", "Test-Limit"
-	hLeaving, hBackoff                 = "Test-Leaving", "Test-Rest"
+	hLeaving, hBackoff                 = "Test-Leaving", "Test-Backoff"
 	testKey, testAccount, otherAccount = "k1", "a1", "a2"
 )
 
@@ -85,8 +85,8 @@
 // fakeSuspects implements Suspects for a single VM.
 type fakeSuspects struct {
 	list *quarantine.List
-	// tried is the number of trials.
-	tried atomic.Int32
+	// trials is the number of trials that were sent.
+	trials atomic.Int32
 }
 
 func (f *fakeSuspects) Report(p quarantine.Fingerprint, d quarantine.Death) bool {
@@ -94,7 +94,7 @@
 }
 func (f *fakeSuspects) Clear(quarantine.Fingerprint) {}
 func (f *fakeSuspects) Try(_ context.Context, p quarantine.Fingerprint) bool {
-	f.list.RecordTrials(p, int(f.tried.Add(1)))
+	f.list.RecordTrials(p, int(f.trials.Add(1)))
 	return true
 }
 
@@ -128,8 +128,8 @@
 	return limit.Decision{Admitted: true}
 }
 
-func (f *fakeTargetLimiter) AdmitLocally(l *target.Live, named target.Limit, reserve float64) limit.Decision {
-	return f.Admit(context.Background(), l, named, reserve)
+func (f *fakeTargetLimiter) AdmitLocally(l *target.Live, targetLimit target.Limit, reserve float64) limit.Decision {
+	return f.Admit(context.Background(), l, targetLimit, reserve)
 }
 
 // limitWait is the retry time that a fakeTargetLimiter returns.
@@ -274,13 +274,13 @@
 	return f
 }
 
-// answerOK answers with a seal and the request's path.
-func answerOK(rw http.ResponseWriter, r *http.Request) {
+// respondOK responds with a seal and the request's path.
+func respondOK(rw http.ResponseWriter, r *http.Request) {
 	rw.Header().Set(hSeal, "seal")
 	fmt.Fprint(rw, "body of ", r.URL.Path)
 }
 
-// shed answers that the request was not run.
+// shed responds that the request was not run.
 func shed(rw http.ResponseWriter, _ *http.Request) {
 	rw.Header().Set(hNotRun, "1")
 	rw.WriteHeader(http.StatusServiceUnavailable)
--- a/pkg/ingress/inflight_test.go
+++ b/pkg/ingress/inflight_test.go
@@ -19,7 +19,7 @@
 	w.add("i-1", "fd-e", func(rw http.ResponseWriter, r *http.Request) {
 		close(arrived)
 		<-release
-		answerOK(rw, r)
+		respondOK(rw, r)
 	})
 	ended := make(chan struct{})
 	go func() {
--- a/pkg/ingress/limit.go
+++ b/pkg/ingress/limit.go
@@ -20,18 +20,19 @@
 	wait time.Duration
 	// othersFull is set if other targets were passed over because they had no room.
 	othersFull bool
-	// reserve is the fraction of the first one's token bucket that the request left to more urgent
-	// ones.
+	// reserve is the fraction of the first target's token bucket that the request left to more
+	// urgent requests.
 	reserve float64
 }
 
-// admitToLimited takes one request from the target's limit, which all VMs share.
+// admitToLimited counts the request against the target's limit, which all VMs share. It returns
+// false if the limit does not allow the request. Without a limit it returns true.
 func (c *call) admitToLimited(ctx context.Context, l *target.Live) bool {
-	named := l.Limit()
-	if !named.Limited {
+	targetLimit := l.Limit()
+	if !targetLimit.Limited {
 		return true
 	}
-	d := c.askTargetLimiter(ctx, l, named)
+	d := c.askTargetLimiter(ctx, l, targetLimit)
 	if d.Admitted {
 		// The target may have left while another VM was asked.
 		return c.s.cfg.Targets.Snapshot().Admits(l, time.Now())
@@ -50,16 +51,16 @@
 
 // askTargetLimiter asks other VMs at least about the first limited target. Once askingFraction of
 // the objective is over, later targets are decided locally.
-func (c *call) askTargetLimiter(ctx context.Context, l *target.Live, named target.Limit) limit.Decision {
+func (c *call) askTargetLimiter(ctx context.Context, l *target.Live, targetLimit target.Limit) limit.Decision {
 	asked := len(c.limited.ids) > 0
 	if !asked {
 		c.limited.reserve = c.reserve()
 	}
 	reserve := c.limited.reserve
 	if asked && time.Since(c.arrived) > time.Duration(askingFraction*float64(c.objective())) {
-		return c.s.cfg.TargetLimiter.AdmitLocally(l, named, reserve)
+		return c.s.cfg.TargetLimiter.AdmitLocally(l, targetLimit, reserve)
 	}
-	return c.s.cfg.TargetLimiter.Admit(ctx, l, named, reserve)
+	return c.s.cfg.TargetLimiter.Admit(ctx, l, targetLimit, reserve)
 }
 
 const (
@@ -112,7 +113,7 @@
 }
 
 // reserve returns the fraction of a limit's token bucket that the request leaves to more urgent
-// ones.
+// requests.
 func (c *call) reserve() float64 {
 	all := c.state.urgencies[c.pool]
 	at, found := slices.BinarySearchFunc(all, urgencyOf(c.account, c.route), urgency.compare)
--- a/pkg/ingress/limit_test.go
+++ b/pkg/ingress/limit_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// answerWithLimit succeeds and names a limit.
-func answerWithLimit(rw http.ResponseWriter, r *http.Request) {
+// respondWithLimit succeeds and sets a limit.
+func respondWithLimit(rw http.ResponseWriter, r *http.Request) {
 	rw.Header().Set(hLimit, "5")
-	answerOK(rw, r)
+	respondOK(rw, r)
 }
 
 // TestObjectOfLimitedTargetUsesOneOther guards against requests beyond a target's limit that are
@@ -18,7 +18,7 @@
 func TestObjectOfLimitedTargetUsesOneOther(t *testing.T) {
 	w := newFixture(t)
 	for i := range 5 {
-		w.add(fmt.Sprint("i-", i), "fd-e", answerWithLimit)
+		w.add(fmt.Sprint("i-", i), "fd-e", respondWithLimit)
 	}
 	object := func(r *http.Request) { r.Header.Set(hObject, "1") }
 	served := func() (ids []string) {
@@ -31,7 +31,7 @@
 	}
 	w.expect(200, "GET", "/safe/x", object)
 	first := served()[0]
-	// The others have not named a limit yet.
+	// The others have not set a limit yet.
 	const sent, admitted = 10, 3
 	w.limits.left[first] = admitted
 	for id := range w.fakes {
@@ -58,7 +58,7 @@
 // time, when every target is at its limit.
 func TestAllTargetsLimited(t *testing.T) {
 	w := newFixture(t)
-	f := w.add("i-1", "fd-e", answerWithLimit)
+	f := w.add("i-1", "fd-e", respondWithLimit)
 	w.expect(200, "GET", "/safe/x")
 	started := time.Now()
 	resp, _ := w.expect(503, "GET", "/safe/x")
@@ -84,7 +84,7 @@
 			shed(rw, r)
 			return
 		}
-		answerOK(rw, r)
+		respondOK(rw, r)
 	})
 	const ran = 20 // enough for the target to count as one that runs requests
 	w.limits.left["i-1"] = ran
@@ -106,7 +106,7 @@
 // was asked about its limit.
 func TestTargetLeavesDuringLimitCheck(t *testing.T) {
 	w := newFixture(t)
-	f := w.add("i-1", "fd-e", answerWithLimit)
+	f := w.add("i-1", "fd-e", respondWithLimit)
 	w.expect(200, "GET", "/safe/x")
 	w.limits.left["i-1"] = 1
 	w.limits.before = func(id string) {
@@ -119,16 +119,16 @@
 	}
 }
 
-// TestLimitEndsWhenNoLongerNamed guards against a limit that stays in force after the target has
-// stopped naming it.
-func TestLimitEndsWhenNoLongerNamed(t *testing.T) {
+// TestLimitEndsWhenNoLongerSet guards against a limit that stays in force after the target's
+// responses no longer set it.
+func TestLimitEndsWhenNoLongerSet(t *testing.T) {
 	w := newFixture(t)
 	names := true
 	w.add("i-1", "fd-e", func(rw http.ResponseWriter, r *http.Request) {
 		if names {
 			rw.Header().Set(hLimit, "5")
 		}
-		answerOK(rw, r)
+		respondOK(rw, r)
 	})
 	w.expect(200, "GET", "/safe/x")
 	names = false
--- a/pkg/ingress/poison.go
+++ b/pkg/ingress/poison.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// endCheckTimeout bounds the check whether a target's process has ended: three round trips
+	// exitCheckTimeout bounds the check whether a target's process has exited: three round trips
 	// between the farthest regions.
-	endCheckTimeout = 350 * time.Millisecond
+	exitCheckTimeout = 350 * time.Millisecond
 	// maxHashedBody is how many bytes of a body are used to tell requests apart.
 	maxHashedBody = 8 << 20
 	// trialRetryAfter is the retry time of a request that another VM is sending as a trial.
@@ -63,9 +63,9 @@
 	return f
 }
 
-// bytesToJudge returns how much of the body must be read to check the request against the
+// bytesToAssess returns how much of the body must be read to check the request against the
 // quarantine list.
-func (c *call) bytesToJudge() int {
+func (c *call) bytesToAssess() int {
 	if c.s.cfg.Quarantine.Empty() {
 		return 0
 	}
@@ -73,19 +73,20 @@
 	return min(n, maxHashedBody)
 }
 
-// judgement checks the request against the quarantine list.
-func (c *call) judgement() quarantine.Assessment {
+// assess checks the request against the quarantine list and records the deaths that count against
+// it.
+func (c *call) assess() quarantine.Assessment {
 	list := c.s.cfg.Quarantine
 	if list.Empty() {
 		return quarantine.Assessment{}
 	}
 	prefix := c.body
-	if c.stream != nil {
+	if c.bodyStream != nil {
 		prefix = c.streamHead
 	}
-	j := list.Assess(c.base(), prefix)
-	c.priorDeaths = j.Deaths
-	return j
+	assessment := list.Assess(c.base(), prefix)
+	c.priorDeaths = assessment.Deaths
+	return assessment
 }
 
 // refuseIfQuarantined returns the refusal of a quarantined request, or nil.
@@ -100,8 +101,8 @@
 	if a := c.readBody(ctx); a != nil {
 		return a
 	}
-	if j := c.judgement(); j.Quarantined && !c.trial {
-		return c.refuseQuarantined(j.RetryAfter)
+	if assessment := c.assess(); assessment.Quarantined && !c.trial {
+		return c.refuseQuarantined(assessment.RetryAfter)
 	}
 	return nil
 }
@@ -109,13 +110,13 @@
 // checkBeforeSend decides, just before an attempt, whether the request may be sent. A request on
 // probation becomes a trial.
 func (c *call) checkBeforeSend(ctx context.Context) *answer {
-	j := c.judgement()
+	assessment := c.assess()
 	switch {
 	case c.trial:
 		return nil
-	case j.Quarantined:
-		return c.refuseQuarantined(j.RetryAfter)
-	case !j.Probation:
+	case assessment.Quarantined:
+		return c.refuseQuarantined(assessment.RetryAfter)
+	case !assessment.Probation:
 		return nil
 	}
 	f := c.fingerprint()
@@ -125,7 +126,7 @@
 	}
 	c.trial = true
 	c.s.counters.trials.Inc(1)
-	c.s.cfg.Log.Warn().Str("request", c.info.ID).Str("fingerprint", c.suspectFingerprint).Int("deaths", j.Deaths).Msg("sending a suspect request as a trial")
+	c.s.cfg.Log.Warn().Str("request", c.info.ID).Str("fingerprint", c.suspectFingerprint).Int("deaths", assessment.Deaths).Msg("sending a suspect request as a trial")
 	return nil
 }
 
@@ -139,25 +140,25 @@
 	return refuse(http.StatusServiceUnavailable, outcome.ReasonQuarantined, retryAfter, "targets died while they ran this request; it was not sent again")
 }
 
-// hasEnded checks whether a target's process has ended: a connection may break and an answer be
+// hasExited checks whether a target's process has exited: a connection may break and a response be
 // lost while the target keeps running.
-func (s *Server) hasEnded(l *target.Live) bool {
+func (s *Server) hasExited(l *target.Live) bool {
 	if l.Exited() {
 		return true
 	}
-	ended, _, _ := s.endChecks.Do(l.Incarnation(), func() (any, error) {
-		ctx, cancel := context.WithTimeout(context.Background(), endCheckTimeout)
+	exited, _, _ := s.exitChecks.Do(l.Incarnation(), func() (any, error) {
+		ctx, cancel := context.WithTimeout(context.Background(), exitCheckTimeout)
 		defer cancel()
-		ended := s.cfg.Client.RefusesConnections(ctx, l.Address)
-		if ended && l.SetExited() {
-			s.counters.targetEnds.Inc(1)
+		exited := s.cfg.Client.RefusesConnections(ctx, l.Address)
+		if exited && l.SetExited() {
+			s.counters.targetExits.Inc(1)
 		}
-		return ended, nil
+		return exited, nil
 	})
-	return ended.(bool)
+	return exited.(bool)
 }
 
-// reportDeath reports that a target ended while it ran the request.
+// reportDeath reports that a target exited while it ran the request.
 func (c *call) reportDeath(l *target.Live) {
 	f := c.fingerprint()
 	c.suspectFingerprint = f.String()
--- a/pkg/ingress/poison_test.go
+++ b/pkg/ingress/poison_test.go
@@ -160,7 +160,7 @@
 			send()
 		}
 	}
-	if n, tried := deaths(), w.suspects.tried.Load(); n != 4 || tried != 2 {
+	if n, tried := deaths(), w.suspects.trials.Load(); n != 4 || tried != 2 {
 		t.Errorf("%d targets crashed, %d trials; want 4 and 2", n, tried)
 	}
 
@@ -168,13 +168,13 @@
 	for range 3 {
 		send()
 	}
-	w.add("i-mended", "fd-e", answerOK)
+	w.add("i-mended", "fd-e", respondOK)
 	w.clock.Advance(11 * time.Second)
 	if status := send(); status != http.StatusOK {
 		t.Fatalf("the trial: status %d", status)
 	}
-	if status := send(); status != http.StatusOK || w.suspects.tried.Load() != 1 {
-		t.Errorf("after the trial: status %d, %d trials; want 200 and 1", status, w.suspects.tried.Load())
+	if status := send(); status != http.StatusOK || w.suspects.trials.Load() != 1 {
+		t.Errorf("after the trial: status %d, %d trials; want 200 and 1", status, w.suspects.trials.Load())
 	}
 }
 
@@ -192,9 +192,9 @@
 	w.expect(http.StatusTooManyRequests, "GET", "/safe/other")
 }
 
-// TestLostAnswerIsNoDeath guards against harmless requests that become suspect because their
+// TestLostResponseIsNoDeath guards against harmless requests that become suspect because their
 // connections break while the target keeps running.
-func TestLostAnswerIsNoDeath(t *testing.T) {
+func TestLostResponseIsNoDeath(t *testing.T) {
 	w := newFixture(t)
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
 		w.addRaw(id, "fd-e", resetConn)
--- a/pkg/ingress/run.go
+++ b/pkg/ingress/run.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// maxBufferedAnswer is the longest answer that is read whole before the caller gets its first
-	// byte, so that the request can be retried if the answer breaks off.
-	maxBufferedAnswer = 1 << 20
+	// maxBufferedResponse is the longest response that is read whole before the caller gets its
+	// first byte, so that the request can be retried if the response breaks off.
+	maxBufferedResponse = 1 << 20
 	// fullRetryMin and fullRetryMax bound the retry time of a request for which no target has room.
 	// They are a fraction of the mean time that a request occupies a slot.
 	fullRetryMin = 100 * time.Millisecond
@@ -31,7 +31,7 @@
 	// slots: the next attempt may succeed at once.
 	freeSlotsRetryMin = 10 * time.Millisecond
 	freeSlotsRetryMax = 30 * time.Millisecond
-	// minAttemptTime is the least time in which a target can be expected to answer.
+	// minAttemptTime is the least time in which a target can be expected to respond.
 	minAttemptTime = 20 * time.Millisecond
 )
 
@@ -177,7 +177,7 @@
 	return refuse(http.StatusServiceUnavailable, reason, minRetry+rand.N(fullRetryMax-fullRetryMin), detail)
 }
 
-// send sends the request to one target and reads the answer.
+// send sends the request to one target and reads the response.
 func (c *call) send(ctx context.Context, l *target.Live) *attempt {
 	ctx, span := c.s.cfg.Tracer.Start(ctx, "ingress.target", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
@@ -189,7 +189,7 @@
 	if span.SpanContext().IsSampled() {
 		traceContext.Inject(ctx, propagation.HeaderCarrier(out.Header))
 	}
-	waiting, stop := c.answerContext(ctx, l)
+	waiting, stop := c.responseContext(ctx, l)
 	resp, failure := c.s.cfg.Client.Do(waiting, out, forward.Options{
 		Address: l.Address, AtMostOnce: !c.idempotent(), AbortBody: c.abortBodyRead, GotConn: c.progress.recordSend,
 	})
@@ -204,7 +204,7 @@
 		}
 		return c.handleFailure(l, failure)
 	}
-	t := c.handleAnswer(ctx, l, resp)
+	t := c.handleResponse(ctx, l, resp)
 	if t.answer != nil && t.answer.stream != nil {
 		t.answer.stream.stopWaiting = stop
 		return t
@@ -215,10 +215,10 @@
 
 var errTargetLost = errors.New("the target became unreachable while the request was in flight")
 
-// answerContext returns the context for waiting for a target's answer. If the request may be sent
-// to another target, the context ends when this one becomes unreachable: a target that lost power
-// never answers, and its connections stay open.
-func (c *call) answerContext(ctx context.Context, l *target.Live) (waiting context.Context, stop func()) {
+// responseContext returns the context for waiting for a target's response. If the request may be
+// sent to another target, the context ends when this one becomes unreachable: a target that lost
+// power never responds, and its connections stay open.
+func (c *call) responseContext(ctx context.Context, l *target.Live) (waiting context.Context, stop func()) {
 	if !c.idempotent() || !c.canResend() || len(c.tried) >= max(1, c.route.MaxAttempts) {
 		return ctx, func() {}
 	}
@@ -227,13 +227,14 @@
 	return waiting, func() { end(); cancel() }
 }
 
-// handleFailure evaluates an attempt that got no answer.
+// handleFailure handles an attempt that got no response. It records whether the target died, is
+// unreachable or only failed this request.
 func (c *call) handleFailure(l *target.Live, f *forward.Error) *attempt {
 	t := &attempt{notRun: !f.Wrote, mayHaveArrived: f.Wrote, err: fmt.Errorf("target %s: %w", l.ID, f)}
 	if f.ContextEnded {
 		return t
 	}
-	if f.ConnectionClosed && c.s.hasEnded(l) {
+	if f.ConnectionClosed && c.s.hasExited(l) {
 		c.reportDeath(l)
 		return t
 	}
@@ -249,8 +250,8 @@
 	return t
 }
 
-// handleAnswer evaluates an answer.
-func (c *call) handleAnswer(ctx context.Context, l *target.Live, resp *forward.Response) *attempt {
+// handleResponse records what a response says about its target and returns the attempt's result.
+func (c *call) handleResponse(ctx context.Context, l *target.Live, resp *forward.Response) *attempt {
 	info := c.s.cfg.Wire.FromTarget(resp.StatusCode, resp.Header)
 	now := time.Now()
 	if info.LoadKnown {
@@ -260,30 +261,30 @@
 		l.SetCold(info.ColdFor, now)
 	}
 	l.RecordResponse(!info.NotRun, now)
-	c.observeLimit(l, resp.StatusCode, info, now)
+	c.recordLimit(l, resp.StatusCode, info, now)
 	if info.authentic(l, resp.StatusCode) {
-		c.observeAvailability(l, info, now)
+		c.recordAvailability(l, info, now)
 	}
 	switch {
 	case info.NotRun:
-		return c.handleShed(l, resp, info)
+		return c.handleNotRun(l, resp, info)
 	case success(resp.StatusCode) && !info.Sealed:
 		l.EndRequest()
 		resp.Close()
 		return &attempt{mayHaveArrived: true, err: fmt.Errorf("target %s: status %d without the target's signature", l.ID, resp.StatusCode)}
 	}
-	return c.readAnswer(ctx, l, resp)
+	return c.readResponse(ctx, l, resp)
 }
 
-// observeLimit records the limit that an answer names. Only an authentic answer to a request that
+// recordLimit records the limit that a response sets. Only an authentic response to a request that
 // ran shows that the target has no limit.
-func (c *call) observeLimit(l *target.Live, status int, info AnswerInfo, now time.Time) {
+func (c *call) recordLimit(l *target.Live, status int, info AnswerInfo, now time.Time) {
 	changed := false
 	switch {
 	case !info.authentic(l, status):
 	case info.LimitInvalid:
 		if l.RecordUnreadableLimit() {
-			c.s.cfg.Log.Warn().Str("request", c.info.ID).Str("target", l.ID).Msg("target names an invalid limit; its previous limit stays in force")
+			c.s.cfg.Log.Warn().Str("request", c.info.ID).Str("target", l.ID).Msg("target set an invalid limit; its previous limit stays in force")
 		}
 	case info.Limit.Limited:
 		changed = l.RecordLimit(info.Limit.Rate, now)
@@ -297,14 +298,14 @@
 	}
 }
 
-// authentic reports whether the answer certainly comes from the target itself.
+// authentic reports whether the response certainly comes from the target itself.
 func (a *AnswerInfo) authentic(l *target.Live, status int) bool {
 	return !a.OtherInstance && (a.InstanceID == "" || a.InstanceID == l.ID) && (a.Sealed || !success(status))
 }
 
-// observeAvailability records whether an answer says that its target is leaving or asks for a
+// recordAvailability records whether a response says that its target is leaving or asks for a
 // backoff.
-func (c *call) observeAvailability(l *target.Live, info AnswerInfo, now time.Time) {
+func (c *call) recordAvailability(l *target.Live, info AnswerInfo, now time.Time) {
 	if info.Leaving && l.SetLeaving() {
 		c.s.counters.leaving.Inc(1)
 		c.s.cfg.Log.Info().Str("request", c.info.ID).Str("target", l.ID).Int("running", l.Running()).Msg("target announced that it is leaving")
@@ -321,8 +322,8 @@
 
 func success(status int) bool { return status >= 200 && status < 300 }
 
-// handleShed evaluates an answer which says that the target did not run the request.
-func (c *call) handleShed(l *target.Live, resp *forward.Response, info AnswerInfo) *attempt {
+// handleNotRun handles a response which says that the target did not run the request.
+func (c *call) handleNotRun(l *target.Live, resp *forward.Response, info AnswerInfo) *attempt {
 	defer l.EndRequest()
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxBufferedBody))
 	resp.Close()
@@ -335,21 +336,21 @@
 	c.s.counters.sheds.Inc(1)
 	c.refusedWithFreeSlots = info.LoadKnown && info.Load < l.Slots
 	if !info.LoadKnown {
-		// Its queue counts as full until an answer says otherwise.
+		// Its queue counts as full until a response reports its load.
 		l.RecordLoad(2*l.Slots, time.Now())
 	}
 	return t
 }
 
-// readAnswer buffers the answer's body. Long answers are forwarded while they arrive.
-func (c *call) readAnswer(ctx context.Context, l *target.Live, resp *forward.Response) *attempt {
+// readResponse buffers the response's body. Long responses are forwarded while they arrive.
+func (c *call) readResponse(ctx context.Context, l *target.Live, resp *forward.Response) *attempt {
 	a := &answer{status: resp.StatusCode, header: endToEndHeaders(resp.Header)}
 	var body bytes.Buffer
-	if n := resp.ContentLength; n > 0 && n <= maxBufferedAnswer {
+	if n := resp.ContentLength; n > 0 && n <= maxBufferedResponse {
 		body.Grow(int(n) + bytes.MinRead)
 	}
-	_, err := io.Copy(&body, io.LimitReader(resp, maxBufferedAnswer))
-	long := err == nil && body.Len() == maxBufferedAnswer && !resp.Complete()
+	_, err := io.Copy(&body, io.LimitReader(resp, maxBufferedResponse))
+	long := err == nil && body.Len() == maxBufferedResponse && !resp.Complete()
 	if long {
 		c.progress.enter(stageAnswer, "")
 		err = context.Cause(ctx) // from here on, Abandon does not cancel the request
@@ -359,7 +360,7 @@
 			c.reportAnswer()
 		}
 		a.body = body.Bytes()
-		a.stream = &streamedAnswer{Response: resp, target: l}
+		a.stream = &streamedResponse{Response: resp, target: l}
 		return &attempt{answer: a}
 	}
 	// The end of a body of known length shows only when a further read returns no bytes.
@@ -373,9 +374,9 @@
 	resp.Close()
 	if err != nil {
 		l.RecordFailure(false)
-		return &attempt{mayHaveArrived: true, err: fmt.Errorf("target %s: incomplete answer: %w", l.ID, err)}
+		return &attempt{mayHaveArrived: true, err: fmt.Errorf("target %s: incomplete response: %w", l.ID, err)}
 	}
-	c.s.demand.observeDuration(c.demandKey(), l.RecordServiceTime(time.Since(c.sentAt), c.load))
+	c.s.demand.recordDuration(c.demandKey(), l.RecordServiceTime(time.Since(c.sentAt), c.load))
 	c.reportAnswer()
 	a.body = body.Bytes()
 	c.replaceNotRunStatus(a)
@@ -392,8 +393,8 @@
 	}
 }
 
-// streamedAnswer is an answer that is still arriving.
-type streamedAnswer struct {
+// streamedResponse is a response that is still arriving.
+type streamedResponse struct {
 	*forward.Response
 	target *target.Live
 	// stopWaiting releases the context of the wait for the target.
@@ -403,16 +404,16 @@
 }
 
 // Read implements io.Reader and records a failure.
-func (p *streamedAnswer) Read(b []byte) (int, error) {
-	n, err := p.Response.Read(b)
-	p.readFailed = err != nil && err != io.EOF
+func (s *streamedResponse) Read(b []byte) (int, error) {
+	n, err := s.Response.Read(b)
+	s.readFailed = err != nil && err != io.EOF
 	return n, err
 }
 
 // Close releases the target's slot and the connection.
-func (p *streamedAnswer) Close() error {
-	p.target.EndRequest()
-	p.Response.Close()
-	p.stopWaiting()
+func (s *streamedResponse) Close() error {
+	s.target.EndRequest()
+	s.Response.Close()
+	s.stopWaiting()
 	return nil
 }
--- a/pkg/ingress/server.go
+++ b/pkg/ingress/server.go
@@ -45,7 +45,8 @@
 	*config.Config
 	Routes *route.Table
 	splits map[string]*splitter
-	// urgencies lists those of the requests to each pool, the most urgent first.
+	// urgencies lists, for each pool, the urgencies that its requests can have, the most urgent
+	// first.
 	urgencies map[string][]urgency
 }
 
@@ -75,13 +76,13 @@
 	RetryLimit() retry.PoolLimit
 }
 
-// TargetLimiter admits requests to targets that name a limit. A limit applies to all VMs together.
+// TargetLimiter admits requests to targets that set a limit. A limit applies to all VMs together.
 type TargetLimiter interface {
 	// Admit takes one request from the limit and may ask another VM. It leaves reserve, a fraction
 	// of the limit's token bucket, to more urgent requests.
-	Admit(ctx context.Context, l *target.Live, named target.Limit, reserve float64) limit.Decision
+	Admit(ctx context.Context, l *target.Live, targetLimit target.Limit, reserve float64) limit.Decision
 	// AdmitLocally is like Admit but does not ask another VM.
-	AdmitLocally(l *target.Live, named target.Limit, reserve float64) limit.Decision
+	AdmitLocally(l *target.Live, targetLimit target.Limit, reserve float64) limit.Decision
 }
 
 // Suspects keeps, for all VMs together, the requests that targets were running when they died.
@@ -108,10 +109,10 @@
 	// Shares returns the regions in which the requests to a pool run.
 	Shares  func(pool string) []placement.Share
 	Limiter limit.Limiter
-	// TargetLimiter bounds the requests to targets that name a limit.
+	// TargetLimiter bounds the requests to targets that set a limit.
 	TargetLimiter TargetLimiter
 	Fleet         Fleet
-	// Quarantine decides on requests; Suspects adds to it.
+	// Quarantine decides which requests are refused; Suspects adds the deaths of targets to it.
 	Quarantine *quarantine.List
 	Suspects   Suspects
 	// IdleSince is the time since which no earlier process of this VM has sent requests; 0 if there
@@ -133,10 +134,10 @@
 	spill    *spillLimiter
 	counters counters
 	inflight *inflight
-	// endChecks shares one check whether a target's process has ended among all requests at the
+	// exitChecks shares one check whether a target's process has exited among all requests at the
 	// target.
-	endChecks singleflight.Group
-	started   time.Time
+	exitChecks singleflight.Group
+	started    time.Time
 	// refuseAt is nil until Stop is called. From then on it holds the time from which new requests
 	// are refused.
 	refuseAt atomic.Pointer[time.Time]
@@ -147,12 +148,12 @@
 	// retries counts retries, retriesFree those of them that cost no budget, and retriesDenied
 	// those for which no budget was left.
 	retries, retriesFree, retriesDenied metrics.Counter
-	// limitChanges counts the limit changes that targets' answers reported, passedOver how often a
+	// limitChanges counts the limit changes that targets' responses reported, passedOver how often a
 	// target was passed over because of its limit.
 	limitChanges, passedOver metrics.Counter
-	// targetEnds counts the targets that ended while they ran requests, quarantined the requests
-	// that were refused for it, and trials those that were sent on probation.
-	targetEnds, quarantined, trials metrics.Counter
+	// targetExits counts the targets that exited while they ran requests, quarantined the requests
+	// that were refused because they are quarantined, and trials those that were sent on probation.
+	targetExits, quarantined, trials metrics.Counter
 	// leaving counts the targets that announced that they are leaving, backoffs the backoffs that
 	// targets asked for.
 	leaving, backoffs metrics.Counter
@@ -175,7 +176,7 @@
 		failed: counter("failed"), sheds: counter("sheds"), held: counter("held"),
 		retries: counter("repeats"), retriesFree: counter("repeats_free"), retriesDenied: counter("repeats_denied"),
 		limitChanges: counter("target_limit_changes"), passedOver: counter("limited_targets_passed_over"),
-		targetEnds: counter("target_ends"), quarantined: counter("quarantined"), trials: counter("trials"),
+		targetExits: counter("target_ends"), quarantined: counter("quarantined"), trials: counter("trials"),
 		leaving: counter("targets_leaving"), backoffs: counter("target_backoffs"),
 	}}
 }
--- a/pkg/ingress/server_test.go
+++ b/pkg/ingress/server_test.go
@@ -20,7 +20,7 @@
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	w := newFixture(t)
-	f := w.add("i-1", "fd-e", answerOK)
+	f := w.add("i-1", "fd-e", respondOK)
 	resp, body, err := w.send("POST", "/once/a%2Fb//c?x=1&y=%20", "the body", func(r *http.Request) {
 		r.Header.Set(hAccount, "forged")
 		r.Header.Set("Extra", "kept")
@@ -44,11 +44,11 @@
 
 func TestRefusals(t *testing.T) {
 	for _, tt := range []struct {
-		name, path string
-		set        func(*fixture)
-		change     func(*http.Request)
-		status     int
-		comesBack  bool
+		name, path     string
+		set            func(*fixture)
+		change         func(*http.Request)
+		status         int
+		wantRetryAfter bool
 	}{
 		{"no configuration", "/safe/x", func(w *fixture) { w.state = nil }, nil, 503, true},
 		{"no route", "/none/x", nil, nil, 404, false},
@@ -66,7 +66,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			w := newFixture(t)
-			f := w.add("i-1", "fd-e", answerOK)
+			f := w.add("i-1", "fd-e", respondOK)
 			if tt.set != nil {
 				tt.set(w)
 			}
@@ -74,11 +74,11 @@
 				tt.change = func(*http.Request) {}
 			}
 			resp, _ := w.expect(tt.status, "POST", tt.path, tt.change)
-			if got := resp.Header.Get(hRetryAfter) != ""; got != tt.comesBack {
-				t.Errorf("has a retry time: %v, want %v", got, tt.comesBack)
+			if got := resp.Header.Get(hRetryAfter) != ""; got != tt.wantRetryAfter {
+				t.Errorf("has a retry time: %v, want %v", got, tt.wantRetryAfter)
 			}
-			if resp.Close != tt.comesBack {
-				t.Errorf("closes the connection: %v, want %v", resp.Close, tt.comesBack)
+			if resp.Close != tt.wantRetryAfter {
+				t.Errorf("closes the connection: %v, want %v", resp.Close, tt.wantRetryAfter)
 			}
 			if f.requests() != 0 {
 				t.Error("the request reached a target")
@@ -89,7 +89,7 @@
 
 func TestOpenRouteNeedsNoKey(t *testing.T) {
 	w := newFixture(t)
-	f := w.add("i-1", "fd-e", answerOK)
+	f := w.add("i-1", "fd-e", respondOK)
 	w.expect(200, "GET", "/open/x", func(r *http.Request) { r.Header.Del(hKey); r.Header.Set(hAccount, "forged") })
 	if got := f.seen[0].Header.Get(hAccount); got != "" {
 		t.Errorf("the target was told account %q, want none", got)
@@ -109,8 +109,8 @@
 	c.Close()
 }
 
-// fixedAnswer writes fixed bytes in reply to each request, with the request's ID in place of %s.
-func fixedAnswer(format string) func(net.Conn) {
+// fixedResponse writes fixed bytes in reply to each request, with the request's ID in place of %s.
+func fixedResponse(format string) func(net.Conn) {
 	return func(c net.Conn) {
 		defer c.Close()
 		in := bufio.NewReader(c)
@@ -138,22 +138,22 @@
 		safe, once int
 	}{
 		{"reset after the request", resetConn, 200, 502},
-		{"shed", fixedAnswer("HTTP/1.1 503 X\r\nTest-Id: %s\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 200, 200},
-		{"another instance", fixedAnswer("HTTP/1.1 421 X\r\nTest-Id: %s\r\nContent-Length: 0\r\n\r\n"), 200, 200},
-		{"no signature", fixedAnswer("HTTP/1.1 200 OK\r\nTest-Id: %s\r\nContent-Length: 2\r\n\r\nok"), 200, 502},
-		{"invalid answer", fixedAnswer("garbage\r\n\r\n"), 200, 502},
-		{"body cut short", fixedAnswer(head + "Content-Length: 100\r\n\r\ncut here"), 200, 502},
-		{"chunks cut short", fixedAnswer(head + "Transfer-Encoding: chunked\r\n\r\n8\r\ncut here\r\n"), 200, 502},
-		{"500 by the target", fixedAnswer("HTTP/1.1 500 X\r\nTest-Id: %s\r\nTest-Seal: s\r\nContent-Length: 0\r\n\r\n"), 500, 500},
-		{"503 that may have run", fixedAnswer("HTTP/1.1 503 X\r\nTest-Id: %s\r\nTest-Seal: s\r\nContent-Length: 0\r\n\r\n"), 502, 502},
-		{"answer to another request first", fixedAnswer("HTTP/1.1 200 OK\r\nTest-Id: other\r\nTest-Seal: s\r\nContent-Length: 3\r\n\r\nbad" + head + "Content-Length: 2\r\n\r\nok"), 200, 200},
-		{"no length, connection closed in order", fixedAnswer(head + "Connection: close\r\n\r\ncut here"), 200, 200},
+		{"shed", fixedResponse("HTTP/1.1 503 X\r\nTest-Id: %s\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 200, 200},
+		{"another instance", fixedResponse("HTTP/1.1 421 X\r\nTest-Id: %s\r\nContent-Length: 0\r\n\r\n"), 200, 200},
+		{"no signature", fixedResponse("HTTP/1.1 200 OK\r\nTest-Id: %s\r\nContent-Length: 2\r\n\r\nok"), 200, 502},
+		{"invalid response", fixedResponse("garbage\r\n\r\n"), 200, 502},
+		{"body cut short", fixedResponse(head + "Content-Length: 100\r\n\r\ncut here"), 200, 502},
+		{"chunks cut short", fixedResponse(head + "Transfer-Encoding: chunked\r\n\r\n8\r\ncut here\r\n"), 200, 502},
+		{"500 by the target", fixedResponse("HTTP/1.1 500 X\r\nTest-Id: %s\r\nTest-Seal: s\r\nContent-Length: 0\r\n\r\n"), 500, 500},
+		{"503 that may have run", fixedResponse("HTTP/1.1 503 X\r\nTest-Id: %s\r\nTest-Seal: s\r\nContent-Length: 0\r\n\r\n"), 502, 502},
+		{"response to another request first", fixedResponse("HTTP/1.1 200 OK\r\nTest-Id: other\r\nTest-Seal: s\r\nContent-Length: 3\r\n\r\nbad" + head + "Content-Length: 2\r\n\r\nok"), 200, 200},
+		{"no length, connection closed in order", fixedResponse(head + "Connection: close\r\n\r\ncut here"), 200, 200},
 	} {
 		for path, status := range map[string]int{"/safe/x": tt.safe, "/once/x": tt.once} {
 			t.Run(tt.name+path, func(t *testing.T) {
 				w := newFixture(t)
 				w.addRaw("i-bad", "fd-e", tt.handle)
-				healthy := w.add("i-good", "fd-w", answerOK)
+				healthy := w.add("i-good", "fd-w", respondOK)
 				// As long as east has capacity, the object belongs there; the second target is in
 				// the next region.
 				resp, _ := w.expect(status, "GET", path, func(r *http.Request) { r.Header.Set(hObject, objectIn(w, "east")) })
@@ -195,7 +195,7 @@
 		})
 		go func() {
 			<-reached
-			w.add("t2", "fd-e", answerOK)
+			w.add("t2", "fd-e", respondOK)
 			w.targets.Snapshot().Pools[testPool]["east"][0].RecordFailure(true)
 		}()
 		w.expect(want, http.MethodGet, path)
@@ -231,8 +231,8 @@
 
 func TestAllowedRegions(t *testing.T) {
 	w := newFixture(t)
-	w.add("i-e", "fd-e", answerOK)
-	west := w.add("i-w", "fd-w", answerOK)
+	w.add("i-e", "fd-e", respondOK)
+	west := w.add("i-w", "fd-w", respondOK)
 	for i := range 50 {
 		w.expect(200, "GET", "/east/x", func(r *http.Request) { r.Header.Set(hObject, fmt.Sprint(i)) })
 	}
@@ -254,7 +254,7 @@
 func TestTargetThatShedsWithFreeSlots(t *testing.T) {
 	w := newFixture(t)
 	w.add("i-1", "fd-e", func(rw http.ResponseWriter, r *http.Request) { rw.Header().Set(hLoad, "1"); shed(rw, r) })
-	w.add("i-2", "fd-e", answerOK)
+	w.add("i-2", "fd-e", respondOK)
 	for i := range 40 {
 		w.expect(200, "GET", "/safe/x", func(r *http.Request) { r.Header.Set(hObject, fmt.Sprint(i)) })
 	}
@@ -274,7 +274,7 @@
 			shed(rw, r)
 			return
 		}
-		answerOK(rw, r)
+		respondOK(rw, r)
 	}
 	a, b := w.add("t1", "fd-e", handler), w.add("t2", "fd-e", handler)
 	object := func(r *http.Request) { r.Header.Set(hObject, "1") }
@@ -336,8 +336,8 @@
 func TestRetryAfterAnotherInstanceIsCharged(t *testing.T) {
 	w := newFixture(t)
 	w.fleet.retries = retry.PoolLimit{Window: 10 * time.Second, VMs: 1}
-	w.addRaw("i-gone", "fd-e", fixedAnswer("HTTP/1.1 421 X\r\nTest-Id: %s\r\nContent-Length: 0\r\n\r\n"))
-	healthy := w.add("i-good", "fd-w", answerOK)
+	w.addRaw("i-gone", "fd-e", fixedResponse("HTTP/1.1 421 X\r\nTest-Id: %s\r\nContent-Length: 0\r\n\r\n"))
+	healthy := w.add("i-good", "fd-w", respondOK)
 	resp, _ := w.expect(503, "GET", "/safe/x", func(r *http.Request) { r.Header.Set(hObject, objectIn(w, "east")) })
 	if resp.Header.Get(hRetryAfter) == "" || healthy.requests() != 0 {
 		t.Errorf("retry after %q, %d retries without budget", resp.Header.Get(hRetryAfter), healthy.requests())
@@ -345,9 +345,9 @@
 	w.expect(200, "GET", "/safe/x") // the target is known to be gone now
 }
 
-// TestAttempts guards against requests that go to more targets than their route allows, and against
-// further requests to targets that reset every connection once they are suspect.
-func TestAttempts(t *testing.T) {
+// TestAttemptsAreBounded guards against requests that go to more targets than their route allows,
+// and against further requests to targets that reset every connection once they are suspect.
+func TestAttemptsAreBounded(t *testing.T) {
 	w := newFixture(t)
 	const targets = 5
 	arrivals := make(chan string, 1000)
@@ -374,7 +374,7 @@
 	}
 }
 
-// failuresToSuspect is more than the number of lost answers that makes a target suspect.
+// failuresToSuspect is more than the number of lost responses that makes a target suspect.
 const failuresToSuspect = 4
 
 // TestColdTargetGetsItsRate guards against an overload of cold targets, as when a failure domain
@@ -382,8 +382,8 @@
 func TestColdTargetGetsItsRate(t *testing.T) {
 	w := newFixture(t)
 	w.fleet.cold = time.Hour
-	cold := w.add("i-cold", "fd-e", answerOK)
-	w.add("i-warm", "fd-e", answerOK)
+	cold := w.add("i-cold", "fd-e", respondOK)
+	w.add("i-warm", "fd-e", respondOK)
 	for _, list := range w.targets.Snapshot().Pools[testPool] {
 		for _, l := range list {
 			if l.ID == "i-cold" {
@@ -399,9 +399,9 @@
 	}
 }
 
-func TestLongAnswers(t *testing.T) {
+func TestLongResponses(t *testing.T) {
 	w := newFixture(t)
-	long := strings.Repeat("x", maxBufferedAnswer+100)
+	long := strings.Repeat("x", maxBufferedResponse+100)
 	w.add("i-1", "fd-e", func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set(hSeal, "seal")
 		fmt.Fprint(rw, long)
@@ -409,7 +409,7 @@
 	if _, body := w.expect(200, "GET", "/safe/x"); body != long {
 		t.Errorf("%d bytes, want %d", len(body), len(long))
 	}
-	w.addRaw("i-1", "fd-e", fixedAnswer("HTTP/1.1 200 OK\r\nTest-Id: %s\r\nTest-Seal: s\r\nContent-Length: "+fmt.Sprint(2*len(long))+"\r\n\r\n"+long+"cut here"))
+	w.addRaw("i-1", "fd-e", fixedResponse("HTTP/1.1 200 OK\r\nTest-Id: %s\r\nTest-Seal: s\r\nContent-Length: "+fmt.Sprint(2*len(long))+"\r\n\r\n"+long+"cut here"))
 	if resp, _, err := w.send("GET", "/safe/x", ""); err == nil {
 		t.Errorf("a truncated answer looks complete: %v", resp.Status)
 	}
@@ -417,7 +417,7 @@
 
 func TestStoppingVMClosesConnections(t *testing.T) {
 	w := newFixture(t)
-	w.add("i-1", "fd-e", answerOK)
+	w.add("i-1", "fd-e", respondOK)
 	w.server.Stop(time.Now().Add(time.Minute))
 	if resp, _ := w.expect(200, "GET", "/safe/x"); !resp.Close {
 		t.Error("the answer does not close the connection")
--- a/pkg/ingress/start.go
+++ b/pkg/ingress/start.go
@@ -12,7 +12,7 @@
 	// startHold is how long after its start a VM holds requests that it will soon be able to serve:
 	// until it knows the configuration, and until its token buckets have tokens. It covers the
 	// connection to the store and two reads from the farthest region. After a start all callers
-	// return at once, and few of them return a second time.
+	// return at once, and few of them come back again if they are refused.
 	startHold = 700 * time.Millisecond
 	// startPauseMin and startPauseMax bound the time between two attempts to get a token.
 	startPauseMin = 20 * time.Millisecond
--- a/pkg/ingress/start_test.go
+++ b/pkg/ingress/start_test.go
@@ -20,7 +20,7 @@
 func TestStartingVMHoldsRequests(t *testing.T) {
 	t.Run("until the configuration is known", func(t *testing.T) {
 		w := newFixture(t)
-		w.add("t1", "fd-e", answerOK)
+		w.add("t1", "fd-e", respondOK)
 		state := w.state
 		w.state = nil
 		ready := w.restart()
@@ -29,7 +29,7 @@
 	})
 	t.Run("until there is a token", func(t *testing.T) {
 		w := newFixture(t)
-		w.add("t1", "fd-e", answerOK)
+		w.add("t1", "fd-e", respondOK)
 		close(w.restart())
 		w.limiter[testAccount] = time.Now().Add(startHold / 5)
 		w.expect(http.StatusOK, http.MethodGet, "/safe/a")
--- a/pkg/ingress/stop_test.go
+++ b/pkg/ingress/stop_test.go
@@ -42,7 +42,7 @@
 // TestAbandonedRequestsAreAnswered guards against requests that get no answer when a stop cuts
 // them, at any stage. Only a request that no target has received may be answered as not run.
 func TestAbandonedRequestsAreAnswered(t *testing.T) {
-	half := strings.Repeat("x", maxBufferedAnswer/2)
+	half := strings.Repeat("x", maxBufferedResponse/2)
 	for _, tt := range []struct {
 		name   string
 		stage  stage
@@ -108,7 +108,7 @@
 // requests.
 func TestBodyThatArrivesTooLateIsRefused(t *testing.T) {
 	w := newFixture(t)
-	f := w.add("i-1", "fd-e", answerOK)
+	f := w.add("i-1", "fd-e", respondOK)
 	pr, pw := io.Pipe()
 	go func() {
 		for !w.reached(stageBody) {
@@ -131,7 +131,7 @@
 // delivered.
 func TestDeliveryContinuesDuringStop(t *testing.T) {
 	w := newFixture(t)
-	long := strings.Repeat("x", 4*maxBufferedAnswer)
+	long := strings.Repeat("x", 4*maxBufferedResponse)
 	w.add("i-1", "fd-e", func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set(hSeal, "seal")
 		fmt.Fprint(rw, long)
--- a/pkg/ingress/trouble_test.go
+++ b/pkg/ingress/trouble_test.go
@@ -58,7 +58,7 @@
 }
 
 // TestSlowDialDoesNotCancelRunningRequests guards against running requests that are restarted on
-// another target because a new connection to theirs takes too long, while it still answers on
+// another target because a new connection to theirs takes too long, while it still responds on
 // others.
 func TestSlowDialDoesNotCancelRunningRequests(t *testing.T) {
 	w := newFixture(t)
@@ -72,7 +72,7 @@
 			running <- struct{}{}
 			<-release
 		}
-		answerOK(rw, r)
+		respondOK(rw, r)
 	})
 	var hang atomic.Bool
 	w.server.cfg.Client = forward.NewClient(forward.Config{
@@ -99,7 +99,7 @@
 	<-running
 	w.expect(200, "GET", "/safe/short") // leaves an idle connection
 	hang.Store(true)
-	w.add("i-2", "fd-w", answerOK)
+	w.add("i-2", "fd-w", respondOK)
 	second := make(chan struct{})
 	go func() { // occupies that connection
 		defer close(second)
@@ -125,7 +125,7 @@
 	}
 }
 
-// endlessBody answers with bytes until the connection is closed.
+// endlessBody responds with bytes until the connection is closed.
 func endlessBody(head string) func(net.Conn) {
 	return func(c net.Conn) {
 		defer c.Close()
@@ -164,23 +164,23 @@
 	return n, err == nil
 }
 
-// TestEndlessAnswersMakeTargetSuspect guards against a target that stays in use though its answers
-// never end, or break off after their beginning was forwarded.
-func TestEndlessAnswersMakeTargetSuspect(t *testing.T) {
+// TestEndlessResponsesMakeTargetSuspect guards against a target that stays in use though its
+// responses never end, or break off after their beginning was forwarded.
+func TestEndlessResponsesMakeTargetSuspect(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nTest-Id: %s\r\nTest-Seal: s\r\n"
-	long := strconv.Itoa(2 * maxBufferedAnswer)
+	long := strconv.Itoa(2 * maxBufferedResponse)
 	for _, tt := range []struct {
 		name   string
 		handle func(net.Conn)
-		least  int64 // bytes from which an incomplete answer counts against the target
+		least  int64 // bytes from which an incomplete response counts against the target
 	}{
-		{"never ends", endlessBody(head + "\r\n"), endlessAnswerBytes + maxBufferedAnswer},
+		{"never ends", endlessBody(head + "\r\n"), endlessResponseBytes + maxBufferedResponse},
 		{"breaks off", func(c net.Conn) {
 			defer c.Close()
 			if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-				_, _ = io.WriteString(c, strings.ReplaceAll(head, "%s", r.Header.Get(hID))+"Content-Length: "+long+"\r\n\r\n"+strings.Repeat("x", maxBufferedAnswer+1000))
+				_, _ = io.WriteString(c, strings.ReplaceAll(head, "%s", r.Header.Get(hID))+"Content-Length: "+long+"\r\n\r\n"+strings.Repeat("x", maxBufferedResponse+1000))
 			}
-		}, maxBufferedAnswer},
+		}, maxBufferedResponse},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			w := newFixture(t)
@@ -213,19 +213,19 @@
 			bad.ClearSuspicion(0, time.Now())
 			atFault()
 			if !bad.Suspect() {
-				t.Error("after a good health check, one bad answer does not make the target suspect again")
+				t.Error("after a good health check, one bad response does not make the target suspect again")
 			}
 		})
 	}
 }
 
-// TestSlowAnswerDoesNotMakeTargetSuspect guards against targets that go out of use because a
-// caller's timeout was too short for a long answer.
-func TestSlowAnswerDoesNotMakeTargetSuspect(t *testing.T) {
+// TestSlowResponseDoesNotMakeTargetSuspect guards against targets that go out of use because a
+// caller's timeout was too short for a long response.
+func TestSlowResponseDoesNotMakeTargetSuspect(t *testing.T) {
 	w := newFixture(t)
 	w.add("i-1", "fd-e", func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set(hSeal, "s")
-		piece := make([]byte, maxBufferedAnswer/4)
+		piece := make([]byte, maxBufferedResponse/4)
 		for range 20 {
 			if _, err := rw.Write(piece); err != nil {
 				return
@@ -253,7 +253,7 @@
 	w := newFixture(t)
 	w.add("i-1", "fd-e", func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set(hSeal, "s")
-		_, _ = rw.Write(make([]byte, maxBufferedAnswer+1000))
+		_, _ = rw.Write(make([]byte, maxBufferedResponse+1000))
 		panic(http.ErrAbortHandler)
 	})
 	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
@@ -279,7 +279,7 @@
 // caller has closed its connection, because the process has not yet read the close.
 func TestCallerThatLeftIsNotServed(t *testing.T) {
 	w := newFixture(t)
-	f := w.add("i-1", "fd-e", answerOK)
+	f := w.add("i-1", "fd-e", respondOK)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/pkg/ingress/upload_test.go
+++ b/pkg/ingress/upload_test.go
@@ -53,44 +53,44 @@
 	w.t.Cleanup(w.server.cfg.Client.Close)
 }
 
-// answersEarly handles a connection by answering after the header, without reading the body. If
-// answer is empty, it resets the connection instead.
-func answersEarly(answer string) func(net.Conn) {
+// respondEarly handles a connection by responding after the header, without reading the body. If
+// response is empty, it resets the connection instead.
+func respondEarly(response string) func(net.Conn) {
 	return func(c net.Conn) {
 		defer c.Close()
 		r, err := http.ReadRequest(bufio.NewReaderSize(c, 16))
 		if err != nil {
 			return
 		}
-		if answer == "" {
+		if response == "" {
 			_ = c.(*net.TCPConn).SetLinger(0) // Close resets the connection
 			return
 		}
-		fmt.Fprintf(c, "HTTP/1.1 %s\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", answer, hID, r.Header.Get(hID))
+		fmt.Fprintf(c, "HTTP/1.1 %s\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", response, hID, r.Header.Get(hID))
 		time.Sleep(3 * time.Second)
 	}
 }
 
-// shedAnswer is the answer of a target that sheds a request.
-const shedAnswer = "503 x\r\n" + hNotRun + ": 1"
+// shedResponse is the response of a target that sheds a request.
+const shedResponse = "503 x\r\n" + hNotRun + ": 1"
 
-// earlyAnswers are the answers of targets that do not read the body, and the status that the caller
-// gets.
-var earlyAnswers = map[string]struct {
-	answer string
-	want   int
-}{"sheds": {shedAnswer, http.StatusServiceUnavailable}, "resets": {"", http.StatusBadGateway}}
+// earlyResponses are the responses of targets that do not read the body, and the status that the
+// caller gets.
+var earlyResponses = map[string]struct {
+	response string
+	want     int
+}{"sheds": {shedResponse, http.StatusServiceUnavailable}, "resets": {"", http.StatusBadGateway}}
 
-// TestCompleteBodyWithEarlyAnswer guards against requests without an answer when the caller has
+// TestCompleteBodyWithEarlyResponse guards against requests without an answer when the caller has
 // sent its whole body and the targets shed the request or reset its connection before they have
 // read it. The aborted read of that body was mistaken for the caller's leaving.
-func TestCompleteBodyWithEarlyAnswer(t *testing.T) {
-	for name, tt := range earlyAnswers {
+func TestCompleteBodyWithEarlyResponse(t *testing.T) {
+	for name, tt := range earlyResponses {
 		t.Run(name, func(t *testing.T) {
 			w := newFixture(t)
 			w.smallWindows()
-			w.addRaw("i-1", "fd-e", answersEarly(tt.answer))
-			w.addRaw("i-2", "fd-e", answersEarly(tt.answer))
+			w.addRaw("i-1", "fd-e", respondEarly(tt.response))
+			w.addRaw("i-2", "fd-e", respondEarly(tt.response))
 			resp, _, err := w.send(http.MethodPost, "/safe/x", strings.Repeat("x", maxBufferedBody-1))
 			if err != nil || resp.StatusCode != tt.want {
 				t.Fatalf("%v %v, want %d", resp, err, tt.want)
@@ -99,14 +99,14 @@
 	}
 }
 
-// TestStalledBodyWithEarlyAnswer guards against an answer that is held back until the rest of the
+// TestStalledBodyWithEarlyResponse guards against an answer that is held back until the rest of the
 // body has arrived, or never sent, when the target ends the request while the caller is still
 // sending.
-func TestStalledBodyWithEarlyAnswer(t *testing.T) {
-	for name, tt := range earlyAnswers {
+func TestStalledBodyWithEarlyResponse(t *testing.T) {
+	for name, tt := range earlyResponses {
 		t.Run(name, func(t *testing.T) {
 			w := newFixture(t)
-			w.addRaw("i-1", "fd-e", answersEarly(tt.answer))
+			w.addRaw("i-1", "fd-e", respondEarly(tt.response))
 			resp, err := http.ReadResponse(w.stalledUpload("/once/a", maxBufferedBody, 4*maxBufferedBody), nil)
 			if err != nil || resp.StatusCode != tt.want {
 				t.Fatalf("%v %v, want %d", resp, err, tt.want)
@@ -115,12 +115,12 @@
 	}
 }
 
-// TestConnectionAfterEarlyAnswer checks that, when a target answers before it has read the body,
+// TestConnectionAfterEarlyResponse checks that, when a target responds before it has read the body,
 // the caller's connection is either closed with the answer or carries its next request.
-func TestConnectionAfterEarlyAnswer(t *testing.T) {
+func TestConnectionAfterEarlyResponse(t *testing.T) {
 	w := newFixture(t)
 	w.smallWindows()
-	w.addRaw("i-1", "fd-e", answersEarly("200 OK\r\n"+hSeal+": s"))
+	w.addRaw("i-1", "fd-e", respondEarly("200 OK\r\n"+hSeal+": s"))
 	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -151,7 +151,7 @@
 	const requests = 1500
 	for name, handle := range map[string]func(net.Conn){
 		"resets at once": func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"sheds at once":  answersEarly(shedAnswer + "\r\nConnection: close"),
+		"sheds at once":  respondEarly(shedResponse + "\r\nConnection: close"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newFixture(t)
--- a/pkg/ingress/wants_test.go
+++ b/pkg/ingress/wants_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// withHeader adds a header to a target's answers.
+// withHeader adds a header to a target's responses.
 func withHeader(name, value string, handle http.HandlerFunc) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set(name, value)
@@ -14,10 +14,10 @@
 	}
 }
 
-// TestLeavingTargetsGetNoRequests guards against requests to a target that has announced in an
-// answer that it is leaving, even if the list of targets does not show it.
+// TestLeavingTargetsGetNoRequests guards against requests to a target that has announced in a
+// response that it is leaving, even if the list of targets does not show it.
 func TestLeavingTargetsGetNoRequests(t *testing.T) {
-	for name, handle := range map[string]http.HandlerFunc{"answers": answerOK, "refuses": shed} {
+	for name, handle := range map[string]http.HandlerFunc{"answers": respondOK, "refuses": shed} {
 		t.Run(name, func(t *testing.T) {
 			w := newFixture(t)
 			leaving := w.add("i-leaving", "fd-e", withHeader(hLeaving, "1", handle))
@@ -26,7 +26,7 @@
 			if leaving.requests() != 1 || resp.Header.Get(hRetryAfter) == "" {
 				t.Errorf("the leaving target got %d requests, want 1; retry after %q", leaving.requests(), resp.Header.Get(hRetryAfter))
 			}
-			w.add("i-other", "fd-e", answerOK)
+			w.add("i-other", "fd-e", respondOK)
 			w.expect(http.StatusOK, "GET", "/safe/x")
 		})
 	}
@@ -36,7 +36,7 @@
 // backing off because another target at its address said so.
 func TestAvailabilityOfAnotherInstanceIsIgnored(t *testing.T) {
 	w := newFixture(t)
-	w.addRaw("i-gone", "fd-e", fixedAnswer("HTTP/1.1 421 X\r\nTest-Id: %s\r\nTest-Leaving: 1\r\nTest-Rest: 5s\r\nContent-Length: 0\r\n\r\n"))
+	w.addRaw("i-gone", "fd-e", fixedResponse("HTTP/1.1 421 X\r\nTest-Id: %s\r\nTest-Leaving: 1\r\nTest-Backoff: 5s\r\nContent-Length: 0\r\n\r\n"))
 	w.expect(http.StatusServiceUnavailable, "GET", "/safe/x")
 	for _, l := range w.targets.All() {
 		if l.Leaving() || l.BackoffRemaining(time.Now()) > 0 {
--- a/pkg/ingress/wire.go
+++ b/pkg/ingress/wire.go
@@ -25,13 +25,13 @@
 	// InstanceID identifies the only target that may run the request.
 	InstanceID string
 	Account    string
-	// Timeout is how long this VM waits for the answer.
+	// Timeout is how long this VM waits for the response.
 	Timeout time.Duration
 }
 
-// AnswerInfo is what an answer says about its target.
+// AnswerInfo is what a response says about its target.
 type AnswerInfo struct {
-	// Sealed is set if the answer carries the target's signature.
+	// Sealed is set if the response carries the target's signature.
 	Sealed bool
 	// NotRun is set if the target did not run the request and never will.
 	NotRun bool
@@ -45,7 +45,7 @@
 	// ColdFor is how much longer the target stays cold, that is, slow.
 	ColdFor time.Duration
 	// Limit is the number of requests per second that the target takes from all VMs together. It is
-	// not valid if LimitInvalid is set: the answer then names a limit that cannot be parsed.
+	// not valid if LimitInvalid is set: the response then has a limit that cannot be parsed.
 	Limit        target.Limit
 	LimitInvalid bool
 	// Leaving is set if the target is leaving and takes no new requests.
@@ -60,10 +60,9 @@
 	Caller(h http.Header) CallerInfo
 	ToTarget(h http.Header, t TargetInfo)
 	FromTarget(status int, h http.Header) AnswerInfo
-	// RemoveSeal removes the target's signature from an answer that this VM replaces by its own.
+	// RemoveSeal removes the target's signature from a response that this VM has changed.
 	RemoveSeal(h http.Header)
 	SetRetryAfter(h http.Header, after time.Duration)
-	// Refusal completes the header of an answer that this VM generated. id is the caller's request
-	// ID.
+	// Refusal sets the caller's request ID on an answer that this VM generated.
 	Refusal(h http.Header, id string)
 }
