--- a/pkg/placement/balance.go
+++ b/pkg/placement/balance.go
@@ -24,7 +24,7 @@
 	Name string
 	// Slots is how many requests its usable targets can run at once.
 	Slots float64
-	// UnlimitedSlots is what Slots would be if its usable targets named no limits. 0 means the
+	// UnlimitedSlots is what Slots would be if its usable targets set no limits. 0 means the
 	// same as Slots.
 	UnlimitedSlots float64
 	// Demand is how many slots the requests of its callers need, without those that are
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -146,7 +146,8 @@
 	return time.Duration(float64(queued) / float64(o.Slots) * float64(o.ServiceTime))
 }
 
-// The useful length of a queue depends on whether the target runs its objects warm.
+// The wait in a queue of a given length depends on whether the target runs its objects warm. Between
+// minQueueLoad and maxQueueLoad, the predicted wait therefore decides.
 const (
 	// maxWaitFraction is how long a request may wait for a slot, relative to its latency objective.
 	maxWaitFraction = 0.7
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -78,17 +78,17 @@
 
 func TestHomeFirst(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		order []string
-		parts []Share
-		want  []string
+		name   string
+		order  []string
+		shares []Share
+		want   []string
 	}{
 		{"room at home", []string{"b", "a", "c"}, []Share{{"a", 0.3}, {"b", 0.7}}, []string{"a", "b", "c"}},
 		{"no room at home", []string{"b", "a", "c"}, []Share{{"a", 0.2}, {"b", 0.8}}, []string{"b", "a", "c"}},
 		{"home first already", []string{"a", "b"}, []Share{{"a", 1}}, []string{"a", "b"}},
 		{"home not usable", []string{"b", "c"}, []Share{{"a", 1}}, []string{"b", "c"}},
 	} {
-		if diff := cmp.Diff(tt.want, HomeFirst(tt.order, "a", tt.parts)); diff != "" {
+		if diff := cmp.Diff(tt.want, HomeFirst(tt.order, "a", tt.shares)); diff != "" {
 			t.Errorf("%s: %s", tt.name, diff)
 		}
 	}
--- a/pkg/placement/sim_test.go
+++ b/pkg/placement/sim_test.go
@@ -137,11 +137,11 @@
 
 // policies are the present one and alternatives that it is compared with.
 var policies = map[string]simPolicy{
-	"one target an object": func(object int, load []Occupancy, _ *rand.Rand) int {
+	"one target per object": func(object int, load []Occupancy, _ *rand.Rand) int {
 		return chooseRanked(object, 1, load, func(c []Occupancy) int { return Choose(c, simObjective) })
 	},
 	// The previous rule: a free second target is better than a long queue.
-	"two targets an object": func(object int, load []Occupancy, _ *rand.Rand) int {
+	"two targets per object": func(object int, load []Occupancy, _ *rand.Rand) int {
 		return chooseRanked(object, 2, load, func(c []Occupancy) int {
 			if c[0].mayQueue(simObjective * 45 / 100) {
 				return 0
@@ -164,7 +164,7 @@
 // TestLoadOnFleetOfWarmTargets compares the policies under loads that a fleet serves well within
 // its capacity if its objects run warm, and that exceed its capacity by far if they run cold.
 func TestLoadOnFleetOfWarmTargets(t *testing.T) {
-	const capacity = simTargets * simSlots / 0.110 // warm requests a second
+	const capacity = simTargets * simSlots / 0.110 // warm requests per second
 	constant := func(fraction float64) func(time.Duration) float64 {
 		return func(time.Duration) float64 { return fraction * capacity }
 	}
@@ -192,8 +192,8 @@
 				t.Logf("%s: %.3f within the objective", name, got[name])
 			}
 			for name, fraction := range got {
-				if fraction > got["one target an object"]+0.01 {
-					t.Errorf("%s serves more within the objective: %.3f against %.3f", name, fraction, got["one target an object"])
+				if fraction > got["one target per object"]+0.01 {
+					t.Errorf("%s serves more within the objective: %.3f against %.3f", name, fraction, got["one target per object"])
 				}
 			}
 		})
