--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -14,7 +14,7 @@
 	Unknown Outcome = iota
 	// NotRun means that no target has run the request or ever will.
 	NotRun
-	// Done means that a target ran the request and its answer is complete.
+	// Done means that a target ran the request and its response is complete.
 	Done
 )
 
@@ -53,13 +53,13 @@
 	ReasonDeadline        Reason = "deadline_exceeded"
 )
 
-// Refusal is the final answer to a request that gets no answer from a target.
+// Refusal is the final answer to a request for which there is no target's response to deliver.
 type Refusal struct {
 	Outcome Outcome
 	Reason  Reason
 	// Status is the HTTP status code of the answer.
 	Status int
-	// RetryAfter is when the caller may retry; 0 makes no statement.
+	// RetryAfter is how long the caller should wait before it retries; 0 if no time is given.
 	RetryAfter time.Duration
 	// Detail is one sentence for humans. It never contains a key.
 	Detail string
