--- a/pkg/forward/client.go
+++ b/pkg/forward/client.go
@@ -44,7 +44,7 @@
 
 // Error describes a failed exchange.
 type Error struct {
-	// Wrote reports that at least one byte of the request was sent.
+	// Wrote reports that at least one byte of the request was sent, or may have been sent.
 	Wrote bool
 	// ConnectionClosed reports that the connection was closed or reset after some of the
 	// request was sent and before the response began, as happens when the
@@ -245,8 +245,8 @@
 	}
 }
 
-// Sweep closes the idle connections that can't be reused: their idle timeout has passed, or the target
-// has closed them or sent unsolicited bytes, which it may do without end.
+// Sweep closes the idle connections that can't be reused: their idle timeout has passed,
+// or the target has closed them or sent unsolicited bytes, which it may do without end.
 func (c *Client) Sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
