--- a/pkg/target/backoff.go
+++ b/pkg/target/backoff.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxBackoffJitter bounds the random delay that a VM adds to a target's back-off, so that the VMs do
+// maxBackoffJitter bounds the random delay that a VM adds to a target's backoff, so that the VMs do
 // not all return to the target at the same moment.
 const maxBackoffJitter = 500 * time.Millisecond
 
@@ -47,8 +47,8 @@
 	return l.Healthy() && !l.Leaving() && l.BackoffRemaining(now) == 0
 }
 
-// copyAnnouncements copies what the target has announced from the state of the same incarnation under an entry
-// that differs in other fields.
+// copyAnnouncements copies what the target has announced from another Live of the same process,
+// whose entry differed in other fields.
 func (l *Live) copyAnnouncements(from *Live) {
 	l.leaving.Store(from.leaving.Load())
 	l.backoffUntil.Store(from.backoffUntil.Load())
--- a/pkg/target/backoff_test.go
+++ b/pkg/target/backoff_test.go
@@ -54,13 +54,13 @@
 	}
 	total, available := UsableSlots([]*Live{l}, now)
 	if l.AcceptsRequests(now.Add(3999*time.Millisecond)) || total != 9 || available != 0 || l.Suspect() {
-		t.Errorf("accepts requests during the back-off, is suspect, or has the wrong slots: %v, %v usable slots", total, available)
+		t.Errorf("accepts requests during the backoff, is suspect, or has the wrong slots: %v, %v usable slots", total, available)
 	}
 	if !l.AcceptsRequests(now.Add(4*time.Second + maxBackoffJitter)) {
-		t.Error("the back-off lasts longer than 4 s plus the jitter")
+		t.Error("the backoff lasts longer than 4 s plus the jitter")
 	}
 	l.BackOff(1000*time.Hour, now)
 	if l.AcceptsRequests(now.Add(999 * time.Hour)) {
-		t.Error("a back-off of 1000 h ends early")
+		t.Error("a backoff of 1000 h ends early")
 	}
 }
--- a/pkg/target/limit.go
+++ b/pkg/target/limit.go
@@ -25,8 +25,8 @@
 type limitState struct {
 	Limit
 	observedAt int64 // instant at which the target had this limit
-	// ownObservation is true if the limit comes from a response to this VM rather than from another VM's
-	// report. unchangedSince is the instant of the first such response with this limit.
+	// ownObservation is true if the limit comes from a response to this VM rather than from another
+	// VM's report. unchangedSince is the instant of the first such response with this limit.
 	ownObservation bool
 	unchangedSince int64
 }
@@ -46,9 +46,9 @@
 	return l.updateLimit(Limit{}, sentAt, now)
 }
 
-// RecordUnreadableLimit records a response whose limit cannot be parsed. It reports whether that is
-// the first one.
-func (l *Live) RecordUnreadableLimit() bool { return !l.unreadableLimit.Swap(true) }
+// RecordUnreadableLimit records a response whose limit is invalid. It reports whether that is the
+// first one.
+func (l *Live) RecordUnreadableLimit() bool { return !l.invalidLimit.Swap(true) }
 
 // updateLimit records the limit of a response. The target had this limit at some moment between at
 // and now.
--- a/pkg/target/live.go
+++ b/pkg/target/live.go
@@ -19,7 +19,7 @@
 type Live struct {
 	Target
 	Pool string
-	// Born is the Unix millisecond of the process's start; 0 is unknown.
+	// Born is the start time of the process in Unix milliseconds; 0 if unknown.
 	Born int64
 	// Hash is a hash of the ID, for rendezvous hashing.
 	Hash uint64
@@ -43,8 +43,8 @@
 	acceptRatio       atomic.Uint64 // math.Float64bits of the fraction of the requests that the target runs
 	unreachableCtx    atomic.Pointer[unreachableSignal]
 	limit             atomic.Pointer[limitState] // nil before the first limit
-	// unreadableLimit is true once a response had a limit that could not be parsed.
-	unreadableLimit atomic.Bool
+	// invalidLimit is true once a response had a limit that could not be parsed.
+	invalidLimit atomic.Bool
 }
 
 // unreachableSignal holds a context that is cancelled when the target is found to be unreachable.
--- a/pkg/target/registry.go
+++ b/pkg/target/registry.go
@@ -40,7 +40,7 @@
 	Pool string
 	// Draining targets accept no new requests.
 	Draining bool
-	// Born is the Unix millisecond of the target's start; 0 is unknown.
+	// Born is the start time of the target in Unix milliseconds; 0 if unknown.
 	Born int64
 	// ColdFor is how much longer the target is slow, as of the writing of the entry.
 	ColdFor time.Duration
@@ -310,7 +310,7 @@
 }
 
 // UsableSlots returns the capacity, in slots, of the targets that are healthy and not leaving: all of
-// it, and the part that they accept requests for at now, given their back-offs and limits.
+// it, and the part that they accept requests for at now, given their backoffs and limits.
 func UsableSlots(list []*Live, now time.Time) (total, available float64) {
 	for _, l := range list {
 		if !l.Healthy() || l.Leaving() {
@@ -335,12 +335,12 @@
 	return out
 }
 
-// Find returns the incarnation of a target that was born at the given time, or nil if it is not
-// listed.
-func (r *Registry) Find(id string, born int64) *Live {
+// Find returns the incarnation of a target that started at startedAt (Unix milliseconds), or
+// nil if it is not listed.
+func (r *Registry) Find(id string, startedAt int64) *Live {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if rec := r.records[id]; rec != nil && rec.live.Born == born {
+	if rec := r.records[id]; rec != nil && rec.live.Born == startedAt {
 		return rec.live
 	}
 	return nil
--- a/pkg/target/registry_test.go
+++ b/pkg/target/registry_test.go
@@ -71,7 +71,7 @@
 
 // TestTargetRemovedDuringListOutage guards against a target that left while this VM could
 // not read the list and got requests for 2 s after the VM's return, when the VM had to
-// follow the list again (DRAIN violation, soak seed 29774260088 of scale-2).
+// follow the list again (DRAIN violation, hunt seed 29774260088 of the day scale-2).
 func TestTargetRemovedDuringListOutage(t *testing.T) {
 	r := newTestRegistry(10)
 	removed := r.Remove([]string{"t0", "t1"}, true, drainTime, t0)
