--- a/pkg/ingress/run.go
+++ b/pkg/ingress/run.go
@@ -299,8 +299,8 @@
 }
 
 // authentic reports whether the response certainly comes from the target itself.
-func (a *AnswerInfo) authentic(l *target.Live, status int) bool {
-	return !a.OtherInstance && (a.InstanceID == "" || a.InstanceID == l.ID) && (a.Sealed || !success(status))
+func (info *AnswerInfo) authentic(l *target.Live, status int) bool {
+	return !info.OtherInstance && (info.InstanceID == "" || info.InstanceID == l.ID) && (info.Sealed || !success(status))
 }
 
 // recordAvailability records whether a response says that its target is leaving or asks for a
