--- a/pkg/edge/balance.go
+++ b/pkg/edge/balance.go
@@ -13,11 +13,12 @@
 // balancePeriod is how often the regions' shares are recomputed from capacity and demand.
 const balancePeriod = 250 * time.Millisecond
 
-// regionShares maps a pool to the fractions of its requests that each region runs.
+// regionShares maps a pool to the fractions of the requests of this region's callers that run in
+// each region.
 type regionShares map[string][]placement.Share
 
-// balance periodically updates the limits of targets, the exchanged suspects, the region
-// shares and the fleet's share count, until ctx ends.
+// balance periodically updates the limits of targets, the suspects exchanged with other VMs,
+// the region shares and the fleet's share count, until ctx ends.
 func (d *Daemon) balance(ctx context.Context) {
 	balancers := map[string]*placement.Balancer{}
 	every(ctx, balancePeriod, func() {
@@ -53,23 +54,23 @@
 			b = &placement.Balancer{}
 			balancers[pool] = b
 		}
-		shares[pool] = b.Update(d.self.Region, d.regionsOf(pool, byRegion, view), now)
+		shares[pool] = b.Update(d.self.Region, d.placementRegions(pool, byRegion, view), now)
 	}
 	d.shares.Store(&shares)
 }
 
-// regionsOf returns each region's capacity for a pool, as far as this VM may use it, and
+// placementRegions returns each region's capacity for a pool, as far as this VM may use it, and
 // the demand of the callers of all live VMs.
-func (d *Daemon) regionsOf(pool string, byRegion map[string][]*target.Live, view *member.View) []placement.Region {
-	work, bound := map[string]float64{}, map[string]float64{}
+func (d *Daemon) placementRegions(pool string, byRegion map[string][]*target.Live, view *member.View) []placement.Region {
+	demand, boundDemand := map[string]float64{}, map[string]float64{}
 	add := func(region string, loads []member.PoolLoad) {
 		for _, l := range loads {
 			switch {
 			case l.Pool != pool:
 			case l.BoundTo != "":
-				bound[l.BoundTo] += l.Demand
+				boundDemand[l.BoundTo] += l.Demand
 			default:
-				work[region] += l.Demand
+				demand[region] += l.Demand
 			}
 		}
 	}
@@ -81,19 +82,19 @@
 	}
 	var regions []placement.Region
 	for _, name := range d.regions {
-		all, limited := target.UsableSlots(byRegion[name], time.Now())
-		regions = append(regions, placement.Region{Name: name, Slots: limited, UnlimitedSlots: all, Demand: work[name], BoundDemand: bound[name]})
+		total, available := target.UsableSlots(byRegion[name], time.Now())
+		regions = append(regions, placement.Region{Name: name, Slots: available, UnlimitedSlots: total, Demand: demand[name], BoundDemand: boundDemand[name]})
 	}
 	return regions
 }
 
-// sharesOf returns the fraction of a pool's requests that each region runs. It computes
-// the fractions if balance has not published any for the pool yet.
+// sharesOf returns the fractions of this region's callers' requests to a pool that run in each
+// region. It computes them if balance has not published any for the pool yet.
 func (d *Daemon) sharesOf(pool string) []placement.Share {
 	if p := d.shares.Load(); p != nil && (*p)[pool] != nil {
 		return (*p)[pool]
 	}
-	return placement.Split(d.self.Region, d.regionsOf(pool, d.targets.Snapshot().Pools[pool], d.members.View()))
+	return placement.Split(d.self.Region, d.placementRegions(pool, d.targets.Snapshot().Pools[pool], d.members.View()))
 }
 
 // regionNames returns the distinct regions of the failure domains, sorted.
--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -36,7 +36,7 @@
 
 const (
 	// fleetTable is the store's table with a row for each VM, and a row for each request
-	// during which several targets crashed.
+	// that ran on several targets when they died.
 	fleetTable = "crocusramp_vms"
 	// storeRateDivisor is the number of VMs that the store's rate limits are divided among.
 	storeRateDivisor = 128
@@ -70,7 +70,7 @@
 	callerIdleTimeout = 75 * time.Second
 	// headerTimeout bounds how long a caller may take to send a request header.
 	headerTimeout = 10 * time.Second
-	// maxListeners is how many listeners a VM has.
+	// maxListeners is the largest number of listeners of a VM.
 	maxListeners = 6
 	// gcPercent trades CPU time for memory, which costs more.
 	gcPercent = 40
@@ -118,7 +118,7 @@
 	leaving        atomic.Bool
 	servers        []*http.Server
 	callers        *http.Server
-	listenerErrors chan error // errors of the listeners
+	listenerErrors chan error
 	conns          *callerConns
 	// listKnown is the store version up to which the list of targets has been read;
 	// listNewest is the version of the newest change to the list itself.
@@ -281,24 +281,24 @@
 // an address cannot be bound.
 func (d *Daemon) listen() error {
 	s := d.settings.Load()
-	peers := http.NewServeMux()
+	peerMux := http.NewServeMux()
 	for _, service := range []func() (string, http.Handler){d.members.Handler, d.limiter.Handler, d.targetLimits.service.Handler, d.suspects.reports.Handler} {
 		prefix, handler := service()
-		peers.Handle(prefix, handler)
+		peerMux.Handle(prefix, handler)
 	}
-	inspect := http.NewServeMux()
-	inspect.Handle("GET /metrics", telemetry.Handler(d.metrics, map[string]*telemetry.Histogram{"ingress.latency": d.latency}))
-	find := func(_, region, _ string) []string { return locate(d.members.View(), region) }
+	metricsMux := http.NewServeMux()
+	metricsMux.Handle("GET /metrics", telemetry.Handler(d.metrics, map[string]*telemetry.Histogram{"ingress.latency": d.latency}))
+	locateVMs := func(_, region, _ string) []string { return locate(d.members.View(), region) }
 	ttl := func() time.Duration { return min(locateTTL, d.settings.Load().Bounds.LocateTTL.Duration) }
 	for _, l := range []struct {
 		address string
 		handler http.Handler
 	}{
-		{s.Listen.Peers, peers},
-		{s.Listen.Locate, platform.ResolveHandler(find, ttl, d.log)},
+		{s.Listen.Peers, peerMux},
+		{s.Listen.Locate, platform.ResolveHandler(locateVMs, ttl, d.log)},
 		{s.Listen.Ready, platform.ReadyHandler(d.ready)},
 		{s.Listen.Callers, d.ingress},
-		{s.Listen.Metrics, inspect},
+		{s.Listen.Metrics, metricsMux},
 		{s.Listen.Operators, d.operatorsHandler()},
 	} {
 		if l.address == "" {
--- a/pkg/edge/fleet.go
+++ b/pkg/edge/fleet.go
@@ -271,8 +271,9 @@
 
 // ColdInterval implements ingress.Fleet. It returns the least time between this VM's requests
 // to a cold target, and false if this VM must not use the target. A VM may send
-// floor(1 s/interval)+1 requests within a second, so the number of VMs that use a cold
-// target is limited to what the bound allows beyond the rate.
+// floor(1 s/interval)+1 requests within a second, up to one more than its share of the rate.
+// The number of VMs that use a cold target is therefore limited to the number of requests
+// that the bound allows beyond the rate.
 func (r *registry) ColdInterval(l *target.Live, rate float64) (time.Duration, bool) {
 	b := r.settings.Load().Bounds
 	users := int(rate*(b.ColdFactor-1) + b.ColdSlack - coldReserve)
@@ -314,7 +315,7 @@
 
 // startTokens returns how many requests of an account are admitted beyond its limit when all
 // VMs restart. All callers then return at the same time. Most of them would be refused
-// wrongly if the buckets counted tokens that an earlier process may have used.
+// wrongly if the buckets started empty because an earlier process may have used the tokens.
 func (r *registry) startTokens(a *config.Account) float64 {
 	b := r.settings.Load().Bounds
 	return startTokensFraction * (b.QuotaOverage*(a.Rate*b.QuotaWindow.Seconds()+a.Burst) + b.QuotaSlack)
--- a/pkg/edge/fleet_test.go
+++ b/pkg/edge/fleet_test.go
@@ -34,15 +34,15 @@
 // second is one second in units of clock.Time.
 const second = clock.Time(time.Second)
 
-func TestPartsOfTheBounds(t *testing.T) {
+func TestShareFollowsFleetSize(t *testing.T) {
 	r := newTestRegistry("vm-00", true)
 	if got := r.Holding(); len(got.Slots) != 0 {
 		t.Errorf("an unregistered VM holds %+v", got)
 	}
-	expect := func(when string, total int) {
+	expect := func(when string, vms int) {
 		t.Helper()
-		if got := r.Holding(); got.Total != slotsPerVM*total || len(got.Slots) != slotsPerVM {
-			t.Errorf("%s: VM holds %d of %d slots, want the share of one of %d VMs", when, len(got.Slots), got.Total, total)
+		if got := r.Holding(); got.Total != slotsPerVM*vms || len(got.Slots) != slotsPerVM {
+			t.Errorf("%s: VM holds %d of %d slots, want the share of one of %d VMs", when, len(got.Slots), got.Total, vms)
 		}
 	}
 	r.setRows(registrations(10), 0)
@@ -61,10 +61,10 @@
 	expect("one VM restarts", 6)
 }
 
-// TestRestartedVMHoldsWhatItKeepsUntilItIsSettled guards against a restarted VM that uses
+// TestRestartedVMUsesOnlyKeptSlotUntilLoansEnd guards against a restarted VM that uses
 // tokens which its earlier process has lent. At once it may only use the slot that is
 // never lent.
-func TestRestartedVMHoldsWhatItKeepsUntilItIsSettled(t *testing.T) {
+func TestRestartedVMUsesOnlyKeptSlotUntilLoansEnd(t *testing.T) {
 	r := newTestRegistry("vm-00", false)
 	r.setRows(registrations(3), 0)
 	if got := r.Holding(); len(got.Slots) != 1 || !got.Slots[0].Kept || !got.Slots[0].New {
@@ -169,10 +169,10 @@
 	}
 }
 
-// TestFleetThatRestartsTogetherSharesTheBounds guards against shares that sum to more than a
+// TestFleetRestartSharesLimits guards against shares that sum to more than a
 // limit after a stop of the whole fleet, because the VMs that start first count only those
 // that are already back.
-func TestFleetThatRestartsTogetherSharesTheBounds(t *testing.T) {
+func TestFleetRestartSharesLimits(t *testing.T) {
 	const n = 11
 	rows := registrations(n)
 	for i := range rows {
@@ -222,9 +222,9 @@
 	}
 }
 
-// TestRowsOfVMsThatLeftAreSwept checks that exactly one VM removes the rows of VMs that have left,
+// TestRowsOfVMsThatLeftAreRemoved checks that exactly one VM removes the rows of VMs that have left,
 // and only after they had time to come back.
-func TestRowsOfVMsThatLeftAreSwept(t *testing.T) {
+func TestRowsOfVMsThatLeftAreRemoved(t *testing.T) {
 	rows := registrations(4)
 	rows[0].Left, rows[2].Left = true, true
 	for i, want := range map[int][]string{1: {"vm-00", "vm-02"}, 3: nil} {
@@ -251,9 +251,9 @@
 	}
 }
 
-// TestUnknownFleetSharesNothing guards against starting VMs that each use a whole fleet-wide limit
+// TestNoShareBeforeFleetIsKnown guards against starting VMs that each use a whole fleet-wide limit
 // because they have not read yet how many VMs there are.
-func TestUnknownFleetSharesNothing(t *testing.T) {
+func TestNoShareBeforeFleetIsKnown(t *testing.T) {
 	r := newTestRegistry("vm-00", false)
 	if got := r.RetryLimit(); got.VMs != 0 {
 		t.Errorf("unknown fleet: the retry floor is divided by %d VMs, want 0", got.VMs)
@@ -318,7 +318,7 @@
 	}
 }
 
-func TestBehind(t *testing.T) {
+func TestLagTimer(t *testing.T) {
 	var b lagTimer
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
 	for _, tt := range []struct {
@@ -333,11 +333,11 @@
 		{2000, 6, 7, false},
 		{3500, 6, 7, false},
 		{3600, 6, 7, true},
-		{4000, 6, 7, false}, // the timer restarts after a kick
+		{4000, 6, 7, false}, // the timer restarts after a refresh
 		{5600, 6, 8, true},
 	} {
-		if got := b.shouldKick(tt.own, tt.newest, at(tt.ms)); got != tt.want {
-			t.Errorf("at %d ms, own %d, newest %d: shouldKick returned %v", tt.ms, tt.own, tt.newest, got)
+		if got := b.shouldRefresh(tt.own, tt.newest, at(tt.ms)); got != tt.want {
+			t.Errorf("at %d ms, own %d, newest %d: shouldRefresh returned %v", tt.ms, tt.own, tt.newest, got)
 		}
 	}
 }
--- a/pkg/edge/follow.go
+++ b/pkg/edge/follow.go
@@ -41,33 +41,33 @@
 // lagTimer measures for how long a peer has had a newer version than this VM.
 type lagTimer struct{ since time.Time }
 
-// shouldKick reports whether this VM has lagged behind for longer than maxLag. It then restarts
+// shouldRefresh reports whether this VM has lagged behind for longer than maxLag. It then restarts
 // the timer.
-func (b *lagTimer) shouldKick(own, newest int64, now time.Time) bool {
+func (t *lagTimer) shouldRefresh(own, newest int64, now time.Time) bool {
 	switch {
 	case own >= newest:
-		b.since = time.Time{}
-	case b.since.IsZero():
-		b.since = now
-	case now.Sub(b.since) > maxLag:
-		b.since = time.Time{}
+		t.since = time.Time{}
+	case t.since.IsZero():
+		t.since = now
+	case now.Sub(t.since) > maxLag:
+		t.since = time.Time{}
 		return true
 	}
 	return false
 }
 
-// comparePeerVersions restarts a watcher's store request when a live peer has had a newer
-// version for longer than maxLag: the store may have accepted the pending request and never
-// answer it.
+// comparePeerVersions makes a watcher send a new request to the store when a live peer has had
+// a newer version for longer than maxLag: the store may have accepted the pending request and
+// never respond to it.
 func (d *Daemon) comparePeerVersions(ctx context.Context, operators, targets *platform.Watcher) {
-	var config, list lagTimer
+	var configLag, listLag lagTimer
 	every(ctx, comparePeriod, func() {
 		newestConfig, newestList := newestVersions(d.members.View())
-		if config.shouldKick(d.Snapshot().Version, newestConfig, time.Now()) {
+		if configLag.shouldRefresh(d.Snapshot().Version, newestConfig, time.Now()) {
 			d.log.Warn().Int64("config", d.Snapshot().Version).Int64("peers", newestConfig).Msg("a peer has a newer configuration; sending a new request to the store")
 			operators.Refresh()
 		}
-		if known := d.listKnown.Load(); list.shouldKick(known, newestList, time.Now()) {
+		if known := d.listKnown.Load(); listLag.shouldRefresh(known, newestList, time.Now()) {
 			d.log.Warn().Int64("list", known).Int64("peers", newestList).Msg("a peer has a newer list of targets; sending a new request to the store")
 			targets.Refresh()
 		}
@@ -90,7 +90,7 @@
 	for _, c := range u.Changes {
 		if domain, ok := platform.EvacuatedDomain(c.Key); ok {
 			d.targets.Evacuate(domain, !c.Removed, time.Now())
-			d.log.Info().Str("failure_domain", domain).Bool("evacuated", !c.Removed).Int64("row", c.Version).Msg("evacuation")
+			d.log.Info().Str("failure_domain", domain).Bool("evacuated", !c.Removed).Int64("row", c.Version).Msg("evacuation of a failure domain changed")
 			changed = true
 			continue
 		}
@@ -150,17 +150,17 @@
 	return func(u platform.Update) {
 		now := time.Now()
 		var removed []string
-		returned := false
+		afterOutage := false
 		for _, c := range lastChanges(u.Changes) {
 			if c.Removed {
 				removed = append(removed, c.Key)
-				returned = returned || c.AfterOutage
+				afterOutage = afterOutage || c.AfterOutage
 				continue
 			}
 			d.applyTarget(c, first, now)
 		}
 		if len(removed) > 0 {
-			d.removeTargets(ctx, removed, returned, now)
+			d.removeTargets(ctx, removed, afterOutage, now)
 		}
 		if len(u.Changes) > 0 || first {
 			d.targets.Publish(u.Version)
@@ -208,20 +208,20 @@
 		d.log.Warn().Err(err).Str("target", c.Key).Int64("row", c.Version).Msg("ignoring an invalid target entry")
 		return
 	}
-	l, fresh := d.targets.Upsert(e, first, now)
+	l, added := d.targets.Upsert(e, first, now)
 	d.log.Info().Str("target", e.ID).Str("pool", e.Pool).Str("address", e.Address).Bool("draining", e.Draining).
-		Bool("new", fresh).Bool("cold", l.Cold(now)).Dur("cold_for_ms", e.ColdFor).Int64("row", c.Version).Msg("target")
+		Bool("new", added).Bool("cold", l.Cold(now)).Dur("cold_for_ms", e.ColdFor).Int64("row", c.Version).Msg("target added or updated")
 }
 
-func (d *Daemon) removeTargets(ctx context.Context, ids []string, returned bool, now time.Time) {
-	r := d.targets.Remove(ids, returned, d.settings.Load().Bounds.Drain.Duration, now)
+func (d *Daemon) removeTargets(ctx context.Context, ids []string, afterOutage bool, now time.Time) {
+	r := d.targets.Remove(ids, afterOutage, d.settings.Load().Bounds.Drain.Duration, now)
 	for _, l := range r.Removed {
 		d.dropTarget(l)
 	}
 	if len(r.Held) == 0 {
 		return
 	}
-	d.log.Warn().Int("targets", len(r.Held)).Bool("store_was_away", returned).Dur("for_ms", r.HeldUntil.Sub(now)).
+	d.log.Warn().Int("targets", len(r.Held)).Bool("store_was_away", afterOutage).Dur("for_ms", r.HeldUntil.Sub(now)).
 		Msg("several targets disappeared from the list at once; keeping them in use for now")
 	time.AfterFunc(time.Until(r.HeldUntil), func() {
 		if ctx.Err() != nil {
@@ -236,7 +236,7 @@
 
 func (d *Daemon) dropTarget(l *target.Live) {
 	d.client.CloseIdle(l.Address)
-	d.log.Info().Str("target", l.ID).Str("address", l.Address).Int("running", l.Running()).Msg("target gone")
+	d.log.Info().Str("target", l.ID).Str("address", l.Address).Int("running", l.Running()).Msg("target removed")
 }
 
 // applyFleet returns a function that applies changes of the fleet's table, and registers this
@@ -292,16 +292,16 @@
 // processes have ended in all of them.
 func (d *Daemon) awaitSettled(ctx context.Context, vms []storage.VM) bool {
 	var waits sync.WaitGroup
-	var late atomic.Bool
+	var unsettled atomic.Bool
 	for _, l := range d.limiters() {
 		waits.Go(func() {
 			if !l.AwaitLoansEnded(ctx, vms) {
-				late.Store(true)
+				unsettled.Store(true)
 			}
 		})
 	}
 	waits.Wait()
-	return !late.Load()
+	return !unsettled.Load()
 }
 
 // decodeRegistration decodes a VM's row of the fleet's table.
--- a/pkg/edge/limits.go
+++ b/pkg/edge/limits.go
@@ -26,8 +26,8 @@
 	minLimitBurst = 1
 	// maxTargetRate is far above the rate of any target. Larger limits are lowered to it.
 	maxTargetRate = 1e6
-	// The burst of a target's limit is the requests of limitBurstTime at its rate plus
-	// limitBurst. The platform allows 1.5 times the limit in 4 s, plus 5 requests.
+	// The burst of a target's limit is the number of requests that its rate allows in
+	// limitBurstTime, plus limitBurst. The platform allows 1.5 times the limit in 4 s, plus 5 requests.
 	limitBurstTime = time.Second
 	limitBurst     = 3
 	// maxReportedLimits is the most limits that a heartbeat response reports.
@@ -54,8 +54,8 @@
 }
 
 // limitAccount returns the account for the requests that the fleet may send to a target.
-func limitAccount(l *target.Live, named target.Limit) *config.Account {
-	rate, burst := min(named.Rate, maxTargetRate), limitBurst
+func limitAccount(l *target.Live, announced target.Limit) *config.Account {
+	rate, burst := min(announced.Rate, maxTargetRate), limitBurst
 	if rate < minTargetRate {
 		rate, burst = minTargetRate, minLimitBurst
 	}
@@ -71,18 +71,19 @@
 }
 
 // Admit counts a request to a target that announces a limit. It may ask another VM for a token.
-func (t *targetLimits) Admit(ctx context.Context, l *target.Live, named target.Limit, spare float64) limit.Decision {
-	return t.service.AdmitWithReserve(ctx, t.upsert(l, named), spare)
+// It leaves reserve, a fraction of the limit's token bucket, to more urgent requests.
+func (t *targetLimits) Admit(ctx context.Context, l *target.Live, announced target.Limit, reserve float64) limit.Decision {
+	return t.service.AdmitWithReserve(ctx, t.upsert(l, announced), reserve)
 }
 
 // AdmitLocally is Admit without asking another VM.
-func (t *targetLimits) AdmitLocally(l *target.Live, named target.Limit, spare float64) limit.Decision {
-	return t.service.AdmitLocally(t.upsert(l, named), spare)
+func (t *targetLimits) AdmitLocally(l *target.Live, announced target.Limit, reserve float64) limit.Decision {
+	return t.service.AdmitLocally(t.upsert(l, announced), reserve)
 }
 
 // upsert creates or updates the account of a limited target and returns the account's name.
-func (t *targetLimits) upsert(l *target.Live, named target.Limit) string {
-	a := limitAccount(l, named)
+func (t *targetLimits) upsert(l *target.Live, announced target.Limit) string {
+	a := limitAccount(l, announced)
 	if old := t.accounts.Load().Accounts[a.Name]; old != nil && old.Rate == a.Rate {
 		return a.Name
 	}
@@ -103,11 +104,11 @@
 	next := map[string]*config.Account{}
 	changed := false
 	for _, l := range all {
-		named := l.Limit()
-		if !named.Limited {
+		announced := l.Limit()
+		if !announced.Limited {
 			continue
 		}
-		a := limitAccount(l, named)
+		a := limitAccount(l, announced)
 		if o := old[a.Name]; o != nil && o.Rate == a.Rate {
 			a = o
 		} else {
@@ -135,12 +136,12 @@
 	}
 	var list []observed
 	for _, l := range all {
-		named, unchangedFor, age, ok := l.ObservedLimit(now)
+		announced, unchangedFor, age, ok := l.ObservedLimit(now)
 		if !ok {
 			continue
 		}
 		at := now.Add(-age)
-		list = append(list, observed{member.TargetLimit{Target: l.ID, Born: l.Born, Named: named.Limited, Rate: named.Rate, Earliest: at, Latest: at}, unchangedFor})
+		list = append(list, observed{member.TargetLimit{Target: l.ID, Born: l.Born, Named: announced.Limited, Rate: announced.Rate, Earliest: at, Latest: at}, unchangedFor})
 	}
 	slices.SortFunc(list, func(a, b observed) int {
 		return cmp.Or(cmp.Compare(a.unchangedFor, b.unchangedFor), cmp.Compare(a.Target, b.Target))
@@ -163,7 +164,7 @@
 			report := target.PeerLimit{Limit: target.Limit{Rate: r.Rate, Limited: r.Named}, Earliest: r.Earliest, Latest: r.Latest}
 			if l != nil && l.RecordPeerLimit(report) {
 				d.log.Info().Str("target", l.ID).Bool("limited", r.Named).Float64("rate", r.Rate).Str("reported_by", p.ID).
-					Dur("age_ms", now.Sub(r.Latest)).Msg("target changes its limit")
+					Dur("age_ms", now.Sub(r.Latest)).Msg("target changed its limit")
 			}
 		}
 	}
--- a/pkg/edge/limits_test.go
+++ b/pkg/edge/limits_test.go
@@ -8,9 +8,9 @@
 	"crocusramp.dev/crocusramp/pkg/target"
 )
 
-// TestLimitsOfTargetsAreLentWhole guards against limits of targets that admit no request because
+// TestTargetLimitsHaveNoKeptSlots guards against limits of targets that admit no request because
 // each VM keeps a share that is smaller than one request.
-func TestLimitsOfTargetsAreLentWhole(t *testing.T) {
+func TestTargetLimitsHaveNoKeptSlots(t *testing.T) {
 	r := newTestRegistry("vm-00", false)
 	r.setRows(registrations(3), 0)
 	if got := (lendableHolder{r}).Holding(); len(got.Slots) != 0 || got.Total != 3*slotsPerVM {
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestAccountsFollowTheLimits guards against accounts that stay after a limit has ended, and against
+// TestAccountsFollowTargetLimits guards against accounts that stay after a limit has ended, and against
 // accounts that are recreated although nothing changed, which would reset their token buckets.
-func TestAccountsFollowTheLimits(t *testing.T) {
+func TestAccountsFollowTargetLimits(t *testing.T) {
 	now := time.Now()
 	l := &target.Live{Target: target.Target{ID: "i-1", Region: "east"}, Born: 7}
 	other := &target.Live{Target: target.Target{ID: "i-2", Region: "west"}}
--- a/pkg/edge/operators.go
+++ b/pkg/edge/operators.go
@@ -15,7 +15,7 @@
 	"crocusramp.dev/crocusramp/pkg/operator"
 )
 
-// errReadOnly is the answer to an operator's change: the platform owns the configuration.
+// errReadOnly rejects an operator's change: the platform owns the configuration.
 var errReadOnly = twirp.NewError(twirp.FailedPrecondition,
 	"the platform owns the configuration: change it in the platform's store; this API only shows it")
 
--- a/pkg/edge/probe.go
+++ b/pkg/edge/probe.go
@@ -15,7 +15,7 @@
 
 const (
 	// probePeriod is the mean time between two probes of a suspect target. Probes are
-	// not sent more often because each has a cost.
+	// not sent more often because each is charged.
 	probePeriod = 700 * time.Millisecond
 	// probeTimeout bounds a probe, including a wait for a slot of the target.
 	probeTimeout = 1500 * time.Millisecond
@@ -47,7 +47,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if named := l.Limit(); named.Limited && !d.targetLimits.Admit(ctx, l, named, 0).Admitted {
+	if announced := l.Limit(); announced.Limited && !d.targetLimits.Admit(ctx, l, announced, 0).Admitted {
 		return
 	}
 	req := &http.Request{
@@ -67,7 +67,7 @@
 	}
 	if fromThisTarget := info.InstanceID == l.ID || (info.InstanceID == "" && !info.OtherInstance); fromThisTarget {
 		if info.Leaving && l.SetLeaving() {
-			d.log.Info().Str("target", l.ID).Msg("target says that it leaves")
+			d.log.Info().Str("target", l.ID).Msg("target announced that it is leaving")
 		}
 		l.BackOff(info.RetryAfter, time.Now())
 	}
@@ -78,7 +78,7 @@
 		return
 	case info.InstanceID != "" && info.InstanceID != l.ID:
 		l.SetReplaced()
-		d.log.Info().Str("target", l.ID).Str("now", info.InstanceID).Msg("another target has the address")
+		d.log.Info().Str("target", l.ID).Str("now", info.InstanceID).Msg("another target now uses the address")
 	case resp.StatusCode == http.StatusOK || full:
 		l.ClearSuspicion(info.ColdFor, time.Now())
 		d.log.Info().Str("target", l.ID).Dur("cold_for_ms", info.ColdFor).Msg("target is healthy again")
--- a/pkg/edge/stop.go
+++ b/pkg/edge/stop.go
@@ -10,9 +10,9 @@
 
 const (
 	// stopNotice is how long a stopping VM still accepts requests: callers cache look-ups
-	// and keep connections for locateTTL, some for longer. The platform does not
-	// excuse the abort of a request that was sent later than 3 s after SIGTERM, so the VM refuses
-	// new requests before then.
+	// and keep connections for locateTTL, some for longer. The platform does not excuse the
+	// abort of a request that was sent later than 3 s after SIGTERM, so the VM refuses new
+	// requests before then.
 	stopNotice = 2900 * time.Millisecond
 	// abandonAfter is the fraction of the grace period after which requests that still run
 	// are aborted with a final response. The platform excuses requests that are aborted in
@@ -41,7 +41,7 @@
 func (d *Daemon) stop() {
 	started := time.Now()
 	grace := d.settings.Load().Bounds.Grace.Duration
-	after := func(part float64) time.Time { return started.Add(time.Duration(part * float64(grace))) }
+	after := func(fraction float64) time.Time { return started.Add(time.Duration(fraction * float64(grace))) }
 	d.leaving.Store(true)
 	for _, l := range d.limiters() {
 		l.StopLending()
--- a/pkg/edge/suspects.go
+++ b/pkg/edge/suspects.go
@@ -45,8 +45,9 @@
 	maxReportedAge      = 10 * time.Second
 	// maxSuspectRows bounds the rows of suspects in the store.
 	maxSuspectRows = 64
-	// rowSyncPeriod is how often the suspects are compared with their rows in the store. The VM that
-	// saw the latest death writes the row at once; the others wait for witnessDelay first.
+	// rowSyncPeriod is how often the suspects are compared with their rows in the store. A VM that
+	// saw one of a suspect's deaths itself writes a missing or outdated row in its next pass. The
+	// other VMs wait for witnessDelay first.
 	rowSyncPeriod = 500 * time.Millisecond
 	witnessDelay  = 2 * time.Second
 	// trialTimeout bounds a trial's write to the store. trialAskInterval is the least time between two
@@ -63,8 +64,8 @@
 }
 
 // suspects shares the requests that crash targets among all VMs: by immediate reports, by heartbeats
-// for VMs that a report did not reach, and by a row in the store for each request during which several
-// targets died, which outlives the processes. It implements ingress.Suspects.
+// for VMs that a report did not reach, and by rows in the store, which outlive the processes. A request
+// gets a row if it ran on several targets when they died. It implements ingress.Suspects.
 type suspects struct {
 	list    *quarantine.List
 	reports *deathreport.Service
@@ -80,7 +81,7 @@
 	rows map[string]*suspectRow // by key
 	// missingSince is when this VM first found a suspect's row missing or outdated, by key.
 	missingSince map[string]clock.Time
-	sawDeath     map[string]bool // keys of suspects during which this VM saw a target die
+	sawDeath     map[string]bool // keys of suspects with a death that this VM saw itself
 	// trialAskedAt is when this VM last asked for a trial of each suspect, by key.
 	trialAskedAt map[string]clock.Time
 	// lastHeartbeat is when the last applied heartbeat of each VM was sent, by VM ID. Only the
@@ -159,9 +160,9 @@
 	}
 	s.rows[row.Key] = next
 	s.list.Restore(next.Case)
-	now, _ := s.list.Find(next.Fingerprint)
-	s.log.Warn().Str("fingerprint", next.String()).Bool("kept_back", now.Restricted()).Int("trials", next.Trials).Int64("row", row.Version).
-		Strs("targets", targetsOf(next.Case)).Msg("request is suspect on all VMs")
+	current, _ := s.list.Find(next.Fingerprint)
+	s.log.Warn().Str("fingerprint", next.String()).Bool("kept_back", current.Restricted()).Int("trials", next.Trials).Int64("row", row.Version).
+		Strs("targets", targetsOf(next.Case)).Msg("suspect request is recorded in the store for all VMs")
 }
 
 // targetsOf returns the targets that died while they ran a request.
@@ -173,7 +174,8 @@
 	return out
 }
 
-// Report implements ingress.Suspects. A request that must be blocked is written to the store at once.
+// Report implements ingress.Suspects. If the request is now restricted, its row is written to the store
+// at once.
 func (s *suspects) Report(f quarantine.Fingerprint, d quarantine.Death) bool {
 	suspect := s.reports.Report(f, d)
 	c, ok := s.list.Find(f)
@@ -197,8 +199,8 @@
 	}
 }
 
-// Try implements ingress.Suspects. The VMs compete for a trial by a conditional write of the row: it
-// is granted to the VM whose write finds the row at the version that the VM knows.
+// Try implements ingress.Suspects. The VMs compete for a trial by a conditional write of the row: the
+// trial is granted to the VM whose write finds the row at the version that the VM knows.
 func (s *suspects) Try(ctx context.Context, f quarantine.Fingerprint) bool {
 	c, ok := s.list.Find(f)
 	if !ok {
@@ -210,8 +212,8 @@
 	if row := s.rows[key]; row != nil {
 		version, c.Trials = row.version, max(c.Trials, row.Trials)
 	}
-	at, asked := s.trialAskedAt[key]
-	ask := c.Trials < maxTrials && (!asked || now.Sub(at) >= trialAskInterval)
+	askedAt, asked := s.trialAskedAt[key]
+	ask := c.Trials < maxTrials && (!asked || now.Sub(askedAt) >= trialAskInterval)
 	if ask {
 		s.trialAskedAt[key] = now
 	}
@@ -232,13 +234,13 @@
 func (s *suspects) writeRow(ctx context.Context, c quarantine.Case, version int64) error {
 	row := encodeSuspectRow(c)
 	expected := platform.Row{Table: fleetTable, Key: row.Key, Version: version}
-	now, err := s.store.Transact(ctx, platform.Transaction{Expect: []platform.Row{expected}, Writes: []platform.Row{row}})
+	newVersion, err := s.store.Transact(ctx, platform.Transaction{Expect: []platform.Row{expected}, Writes: []platform.Row{row}})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil:
-		row.Version = now
+		row.Version = newVersion
 		s.applyRow(row)
 	case errors.As(err, &conflict):
 		for _, current := range conflict.Current {
@@ -260,8 +262,8 @@
 	}
 }
 
-// exchangeReports applies the suspects that other VMs' heartbeats reported, and updates those that this VM's
-// heartbeats report.
+// exchangeReports applies the suspects that other VMs' heartbeats reported, and updates those that this
+// VM's heartbeats report.
 func (s *suspects) exchangeReports(view *member.View) {
 	s.applyReported(view)
 	cases := s.list.Cases(maxReportedAge)
@@ -305,7 +307,8 @@
 	}
 }
 
-// isOutdated reports whether the row lacks a death or the conviction of the case that this VM knows.
+// isOutdated reports whether the row lacks a death that this VM knows of, or does not say that the
+// case is confirmed although it is.
 func (r *suspectRow) isOutdated(c *quarantine.Case) bool {
 	return len(c.Deaths) > len(r.Deaths) || (c.Confirmed && !r.Confirmed)
 }
@@ -347,18 +350,18 @@
 }
 
 // removeRows removes the rows of requests that a target has answered and, on the coordinator, rows
-// that have not changed for suspectRetention. If the list has dropped a case that still has a row, because it
-// holds a limited number of suspects, removeRows restores the case.
+// that have not changed for suspectRetention. If the list has dropped a case that still has a row,
+// because it holds a limited number of suspects, removeRows restores the case.
 func (s *suspects) removeRows(ctx context.Context) {
-	first, now := s.isCoordinator(), s.clock.Now()
+	coordinator, now := s.isCoordinator(), s.clock.Now()
 	s.mu.Lock()
 	var t platform.Transaction
 	for key, row := range s.rows {
-		over := now.Sub(row.readAt) > suspectRetention
-		if _, known := s.list.Find(row.Fingerprint); !known && !over && !row.cleared {
+		expired := now.Sub(row.readAt) > suspectRetention
+		if _, known := s.list.Find(row.Fingerprint); !known && !expired && !row.cleared {
 			s.list.Restore(row.Case)
 		}
-		if row.cleared || (over && first) {
+		if row.cleared || (expired && coordinator) {
 			t.Expect = append(t.Expect, platform.Row{Table: fleetTable, Key: key, Version: row.version})
 			t.Remove = append(t.Remove, platform.Row{Table: fleetTable, Key: key})
 		}
--- a/pkg/edge/suspects_test.go
+++ b/pkg/edge/suspects_test.go
@@ -30,7 +30,7 @@
 	defer f.mu.Unlock()
 	f.writes++
 	if f.unavailable {
-		return 0, errors.New("away")
+		return 0, errors.New("store is unavailable")
 	}
 	for _, e := range t.Expect {
 		if current := f.rows[e.Key]; current.Version != e.Version {
@@ -230,9 +230,9 @@
 	}
 }
 
-// TestAcquittedRequestIsFreeEverywhere checks that the row of a request is removed when a target has
+// TestAnsweredRequestIsClearedOnAllVMs checks that the row of a request is removed when a target has
 // answered the request, and that the removal ends the suspicion on the other VMs.
-func TestAcquittedRequestIsFreeEverywhere(t *testing.T) {
+func TestAnsweredRequestIsClearedOnAllVMs(t *testing.T) {
 	store, c := &fakeStore{rows: map[string]platform.Row{}}, clock.NewFake(1)
 	one, other := newTestSuspects(store, c), newTestSuspects(store, c)
 	one.reportTwoDeaths()
@@ -248,7 +248,7 @@
 	rows[0].Removed = true
 	other.apply(rows[0])
 	if j := other.list.Assess(poison.Base, []byte("poison")); j != (quarantine.Assessment{}) {
-		t.Errorf("the other VM still judges the request as %+v", j)
+		t.Errorf("the other VM still assesses the request as %+v", j)
 	}
 }
 
