--- a/pkg/feed/consult.go
+++ b/pkg/feed/consult.go
@@ -69,9 +69,9 @@
 // finishConsultation applies the results of a consultation that began at start.
 // It runs on the loop.
 func (f *Feed) finishConsultation(view *member.View, results []consultResult, start clock.Time) {
-	for _, p := range results {
-		if p.err == nil && p.pulled.ready {
-			f.applyUpdate(p.pulled.update)
+	for _, r := range results {
+		if r.err == nil && r.pulled.ready {
+			f.applyUpdate(r.pulled.update)
 		}
 	}
 	askedAll := view.Complete && len(results) == len(view.Peers)
@@ -95,10 +95,10 @@
 	if version == noVersion {
 		return false
 	}
-	for _, p := range results {
+	for _, r := range results {
 		switch {
-		case errors.Is(p.err, syscall.ECONNREFUSED):
-		case p.err != nil || !p.pulled.unreachable || p.pulled.update.version > version:
+		case errors.Is(r.err, syscall.ECONNREFUSED):
+		case r.err != nil || !r.pulled.storeUnreachable || r.pulled.update.version > version:
 			return false
 		}
 	}
--- a/pkg/feed/contact.go
+++ b/pkg/feed/contact.go
@@ -29,23 +29,23 @@
 }
 
 // recordResponse records an attempt that began at start and got a response at now.
-func (c *reachability) recordResponse(start, now clock.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.lastResponse = max(c.lastResponse, now)
-	c.recordAttempt(start, true)
+func (r *reachability) recordResponse(start, now clock.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastResponse = max(r.lastResponse, now)
+	r.recordAttempt(start, true)
 }
 
 // recordFailure records an attempt that began at start and got no response.
-func (c *reachability) recordFailure(start clock.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.recordAttempt(start, false)
+func (r *reachability) recordFailure(start clock.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.recordAttempt(start, false)
 }
 
-func (c *reachability) recordAttempt(start clock.Time, ok bool) {
-	if start >= c.lastAttempt {
-		c.lastAttempt, c.reachable = start, ok
+func (r *reachability) recordAttempt(start clock.Time, ok bool) {
+	if start >= r.lastAttempt {
+		r.lastAttempt, r.reachable = start, ok
 	}
 }
 
@@ -59,16 +59,16 @@
 	return first.reachable, max(first.lastResponse, second.lastResponse)
 }
 
-func (c *reachability) load() attemptRecord {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.attemptRecord
+func (r *reachability) load() attemptRecord {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.attemptRecord
 }
 
 // unreachable reports whether the newest attempt failed and began at most
 // within before now.
-func (c *reachability) unreachable(now clock.Time, within time.Duration) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.lastAttempt != never && !c.reachable && now.Sub(c.lastAttempt) <= within
+func (r *reachability) unreachable(now clock.Time, within time.Duration) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.lastAttempt != never && !r.reachable && now.Sub(r.lastAttempt) <= within
 }
--- a/pkg/feed/fake_fleet_test.go
+++ b/pkg/feed/fake_fleet_test.go
@@ -194,19 +194,19 @@
 	next http.RoundTripper
 }
 
-func (c partitionTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	if c.vm.partitioned.Load() {
+func (t partitionTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if t.vm.partitioned.Load() {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
-	if c.vm.delay != nil {
-		sleep(r.Context(), c.vm.delay(r.URL.Host))
+	if t.vm.delay != nil {
+		sleep(r.Context(), t.vm.delay(r.URL.Host))
 	}
-	return c.next.RoundTrip(r)
+	return t.next.RoundTrip(r)
 }
 
 // CloseIdleConnections lets http.Client close the idle connections of the wrapped transport.
-func (c partitionTransport) CloseIdleConnections() { c.next.(*http.Transport).CloseIdleConnections() }
+func (t partitionTransport) CloseIdleConnections() { t.next.(*http.Transport).CloseIdleConnections() }
 
 // every returns a condition that holds when ok holds for every VM.
 func (f *fleet) every(ok func(*vm) bool) func() bool {
--- a/pkg/feed/fake_test.go
+++ b/pkg/feed/fake_test.go
@@ -242,7 +242,7 @@
 	deadline := time.Now().Add(30 * time.Second)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within 30 s: %s", what)
+			t.Fatalf("condition not met within 30 s: %s", what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/pkg/feed/fault_test.go
+++ b/pkg/feed/fault_test.go
@@ -141,14 +141,14 @@
 // checkLog checks that the log matches the outcomes and versions reported to the operators.
 func checkLog(t *rapid.T, s *fakeStore, outcomes map[string]proposalOutcome, versions map[string]int64) {
 	found := loggedVersions(t, s)
-	for name, v := range outcomes {
-		at, in := found[name]
+	for name, reported := range outcomes {
+		at, logged := found[name]
 		switch {
-		case v == accepted && at != versions[name]:
+		case reported == accepted && at != versions[name]:
 			t.Fatalf("%s was accepted as version %d, the log has it at %d", name, versions[name], at)
-		case v == refused && in:
+		case reported == refused && logged:
 			t.Fatalf("%s was refused as not run, the log has it at %d", name, at)
-		case v == unknown && in && at != versions[name]:
+		case reported == unknown && logged && at != versions[name]:
 			t.Fatalf("%s may have made version %d, the log has it at %d", name, versions[name], at)
 		}
 	}
--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -42,13 +42,13 @@
 	defaultPeerTimeout   = time.Second
 
 	// fallbackAgeMin and fallbackAgeMax bound a VM's fallbackAge, as fractions
-	// of the freshness bound. Through two levels of followers below a relay, a
-	// read reaches an age of half the bound.
+	// of the freshness bound. They are above one half because a relay's read can
+	// be half the bound old when it reaches followers two levels below the relay.
 	fallbackAgeMin = 0.55
 	fallbackAgeMax = 0.65
-	// consultAfter is the age of the configuration, as a fraction of the
+	// consultAge is the age of the configuration, as a fraction of the
 	// freshness bound, above which a VM consults all peers.
-	consultAfter = 0.6
+	consultAge = 0.6
 
 	// stepsPerPoll is how many times per poll interval the VM checks what work is due.
 	stepsPerPoll = 2
@@ -180,7 +180,7 @@
 // isRelay reports whether this VM is the relay of its failure domain.
 func (f *Feed) isRelay() bool {
 	o := f.relay.Load()
-	return o.known && o.revision > 0 && o.row.Incarnation == f.cfg.Self.Incarnation
+	return o.observed && o.revision > 0 && o.row.Incarnation == f.cfg.Self.Incarnation
 }
 
 // step starts the work that is due. It runs on the loop.
@@ -190,7 +190,7 @@
 	d := currentDuties(dutyInputs{
 		now:          now,
 		isRelay:      f.isRelay(),
-		relayKnown:   o.known && o.revision > 0,
+		relayKnown:   o.observed && o.revision > 0,
 		readAge:      now.Sub(s.readAt),
 		age:          s.age(now),
 		fallbackAge:  f.fallbackAge,
@@ -219,7 +219,7 @@
 		f.cfg.Loop.Post(func() {
 			f.campaigning = false
 			if err != nil {
-				f.cfg.Log.Debug().Err(err).Msg("failed to renew the relay lease")
+				f.cfg.Log.Debug().Err(err).Msg("failed to acquire or renew the relay lease")
 			}
 			f.setRelay(o)
 		})
--- a/pkg/feed/fleet_test.go
+++ b/pkg/feed/fleet_test.go
@@ -90,13 +90,13 @@
 	for i, v := range f.vms {
 		before[i] = v.table.reads.Load()
 	}
-	eventually(t, "relays read on", f.every(func(v *vm) bool {
+	eventually(t, "relays keep reading", f.every(func(v *vm) bool {
 		return !v.isRelay() || v.table.reads.Load() > before[indexOf(f, v)]+5
 	}))
 	for i, v := range f.vms {
 		// One read may have been in flight when the relay became known.
 		if n := v.table.reads.Load() - before[i]; !v.isRelay() && n > 1 {
-			t.Errorf("%s does not relay and read %d times", v.peer.ID, n)
+			t.Errorf("%s is not a relay, but read the log %d times", v.peer.ID, n)
 		}
 	}
 }
@@ -155,13 +155,13 @@
 	eventually(t, "refused as withdrawn", func() bool { return reason(isolated, text) == outcome.ReasonUnauthenticated })
 }
 
-func TestCutOffFromStoreStaysFresh(t *testing.T) {
+func TestStaysFreshWithoutStore(t *testing.T) {
 	f := newFleet(t, fastConfig, "a", "b")
 	eventually(t, "all fresh", f.every(fresh))
 	f.vms[1].table.disconnected.Store(true)
 	n := mustPropose(t, f.vms[0].Feed, createAccount("a"))
-	eventually(t, "in force there", func() bool { return hasVersion(n)(f.vms[1]) })
-	eventually(t, "read by others only", func() bool {
+	eventually(t, "in force on the VM without the store", func() bool { return hasVersion(n)(f.vms[1]) })
+	eventually(t, "fresh through its peers, past the bound", func() bool {
 		st := f.vms[1].Status()
 		return !st.StoreReachable && st.SinceStoreResponse > 2*fastConfig.MaxAge && st.Fresh
 	})
@@ -175,18 +175,18 @@
 	f.add("a")
 	f.add("b").table.disconnectAfterRead.Store(true)
 	f.start()
-	eventually(t, "read by others only", func() bool {
+	eventually(t, "fresh through its peers, past the bound", func() bool {
 		st := f.vms[1].Status()
 		return !st.StoreReachable && st.SinceStoreResponse > 2*fastConfig.MaxAge && st.Fresh
 	})
 }
 
-func TestCutOffFromPeersStaysFresh(t *testing.T) {
+func TestStaysFreshWithoutPeers(t *testing.T) {
 	f := newFleet(t, fastConfig, "a", "a")
 	eventually(t, "all fresh", f.every(fresh))
 	f.vms[1].partitioned.Store(true)
 	n := mustPropose(t, f.vms[0].Feed, createAccount("a"))
-	eventually(t, "in force there", func() bool { return hasVersion(n)(f.vms[1]) })
+	eventually(t, "in force on the partitioned VM", func() bool { return hasVersion(n)(f.vms[1]) })
 	reads := f.vms[1].table.reads.Load()
 	eventually(t, "fresh by its own reads, past the bound", func() bool {
 		return f.vms[1].table.reads.Load() > reads+2*int64(fastConfig.MaxAge/fastConfig.PollInterval) && fresh(f.vms[1])
@@ -210,7 +210,7 @@
 		return reason(v, text) == outcome.ReasonStale
 	}))
 	f.vms[2].partitioned.Store(false)
-	eventually(t, "agreement again", f.every(func(v *vm) bool { return reason(v, text) == "" }))
+	eventually(t, "keys work by agreement again", f.every(func(v *vm) bool { return reason(v, text) == "" }))
 	f.store.set(func(s *fakeStore) { s.down = false })
 	mustPropose(t, f.vms[2].Feed, createAccount("after the outage"))
 }
@@ -267,7 +267,7 @@
 	isolated.table.disconnected.Store(true)
 	alone.vms[0].partitioned.Store(true)
 	alone.start()
-	eventually(t, "an attempt", func() bool {
+	eventually(t, "a failed read of the store", func() bool {
 		return isolated.cfg.Metrics.Get("feed.reads") != nil && isolated.meters.readErrors.Count() > 0
 	})
 	if isolated.Ready() || isolated.Snapshot().Fresh || isolated.Snapshot().Config == nil {
--- a/pkg/feed/follow.go
+++ b/pkg/feed/follow.go
@@ -28,8 +28,8 @@
 // pullResult is a peer's decoded response to a pull.
 type pullResult struct {
 	update update
-	// unreachable reports that the peer tried to reach the store and failed.
-	unreachable bool
+	// storeUnreachable reports that the peer tried to reach the store and failed.
+	storeUnreachable bool
 	// relay is the relay of the peer's failure domain as known to the peer.
 	relay         relayRow
 	failureDomain string
@@ -45,18 +45,18 @@
 			sleep(ctx, followRetryDelay)
 			continue
 		}
-		a, err := f.pull(ctx, address, f.cfg.PullWait)
+		result, err := f.pull(ctx, address, f.cfg.PullWait)
 		now := f.cfg.Clock.Now()
-		if err != nil || !a.ready || now.Sub(max(a.update.readAt, a.update.agreedAt)) > f.fallbackAge {
+		if err != nil || !result.ready || now.Sub(max(result.update.readAt, result.update.agreedAt)) > f.fallbackAge {
 			avoid[address] = now.Add(f.cfg.RelayLease)
 		}
-		if err != nil || !a.ready {
+		if err != nil || !result.ready {
 			sleep(ctx, followRetryDelay)
 			continue
 		}
 		f.cfg.Loop.Post(func() {
-			f.applyUpdate(a.update)
-			f.learnRelay(a)
+			f.applyUpdate(result.update)
+			f.learnRelay(result)
 		})
 		f.waitForLoop(ctx)
 	}
@@ -68,15 +68,15 @@
 
 // learnRelay adopts the relay that a peer of the same failure domain reports.
 // The lease in the table is read only when the relay fails. It runs on the loop.
-func (f *Feed) learnRelay(a pullResult) {
+func (f *Feed) learnRelay(result pullResult) {
 	o := f.relay.Load()
-	if f.isRelay() || a.relay.Address == "" || a.failureDomain != f.cfg.Self.FailureDomain || a.relay == o.row {
+	if f.isRelay() || result.relay.Address == "" || result.failureDomain != f.cfg.Self.FailureDomain || result.relay == o.row {
 		return
 	}
-	if a.relay.Incarnation == f.cfg.Self.Incarnation {
+	if result.relay.Incarnation == f.cfg.Self.Incarnation {
 		return
 	}
-	f.setRelay(observation{row: a.relay, revision: max(o.revision, 1), since: f.cfg.Clock.Now(), known: true})
+	f.setRelay(observation{row: result.relay, revision: max(o.revision, 1), since: f.cfg.Clock.Now(), observed: true})
 }
 
 // pullSource returns the address of the peer to pull from: the parent in the
@@ -166,36 +166,36 @@
 // responded HeldUs after that. So what it knew at a given age before its
 // response, it knew at start + held - age or later.
 func decodePullResponse(resp *peerpb.PullResponse, start clock.Time) (pullResult, error) {
-	a := pullResult{
-		ready:         resp.Ready,
-		unreachable:   resp.StoreUnreachable,
-		failureDomain: resp.FailureDomain,
-		relay:         relayRow{ID: resp.RelayId, Incarnation: resp.RelayIncarnation, Address: resp.RelayAddress},
-		update:        update{version: resp.Version, readAt: never, agreedAt: never},
+	result := pullResult{
+		ready:            resp.Ready,
+		storeUnreachable: resp.StoreUnreachable,
+		failureDomain:    resp.FailureDomain,
+		relay:            relayRow{ID: resp.RelayId, Incarnation: resp.RelayIncarnation, Address: resp.RelayAddress},
+		update:           update{version: resp.Version, readAt: never, agreedAt: never},
 	}
 	if !resp.Ready {
-		return a, nil
+		return result, nil
 	}
 	if len(resp.Snapshot) > 0 {
 		c, err := config.Decode(resp.Snapshot)
 		if err != nil {
 			return pullResult{}, err
 		}
-		a.update.snapshot = c
+		result.update.snapshot = c
 	}
 	entries, err := decodeEntries(resp.Changes)
 	if err != nil {
 		return pullResult{}, err
 	}
-	a.update.entries = entries
+	result.update.entries = entries
 	at := start.Add(microseconds(max(0, resp.HeldUs)))
 	if resp.ReadAgeUs >= 0 {
-		a.update.readAt = at.Add(-microseconds(resp.ReadAgeUs))
+		result.update.readAt = at.Add(-microseconds(resp.ReadAgeUs))
 	}
 	if resp.AgreedAgeUs >= 0 {
-		a.update.agreedAt = at.Add(-microseconds(resp.AgreedAgeUs))
+		result.update.agreedAt = at.Add(-microseconds(resp.AgreedAgeUs))
 	}
-	return a, nil
+	return result, nil
 }
 
 // microseconds converts n to a duration and limits it, so that no value that a
--- a/pkg/feed/inforce_bench_test.go
+++ b/pkg/feed/inforce_bench_test.go
@@ -24,38 +24,38 @@
 
 // start starts the fleet. VM i is in region i%3 and failure domain i/3%2 of that
 // region.
-func (s topology) start(b *testing.B, cfg Config) *fleet {
+func (topo topology) start(b *testing.B, cfg Config) *fleet {
 	f := &fleet{t: b, store: newFakeStore(), cfg: cfg}
 	region := map[string]int{}
 	for i := range 11 {
 		v := f.add(fmt.Sprintf("region%d-%d", i%3, i/3%2))
 		region[v.peer.PeerAddress] = i % 3
-		v.table.delay.Store(int64(s.roundTrip(i%3, 0)))
-		v.delay = func(address string) time.Duration { return s.roundTrip(i%3, region[address]) }
+		v.table.delay.Store(int64(topo.roundTrip(i%3, 0)))
+		v.delay = func(address string) time.Duration { return topo.roundTrip(i%3, region[address]) }
 	}
 	f.start()
 	eventually(b, "all fresh", f.every(fresh))
 	return f
 }
 
-func (s topology) roundTrip(from, to int) time.Duration {
+func (topo topology) roundTrip(from, to int) time.Duration {
 	if from == to {
-		return s.domainRTT
+		return topo.domainRTT
 	}
-	return s.regionRTT
+	return topo.regionRTT
 }
 
 // BenchmarkInForce measures the time from an operator's call until the last of
 // eleven VMs has the change in force: with pushes, and through the relays alone,
 // for a change that a feed outside the fleet writes to the store.
 func BenchmarkInForce(b *testing.B) {
-	for _, s := range topologies {
-		b.Run(s.name+"/push", func(b *testing.B) {
-			f := s.start(b, Config{})
+	for _, topo := range topologies {
+		b.Run(topo.name+"/push", func(b *testing.B) {
+			f := topo.start(b, Config{})
 			measure(b, f, func(i int, build BuildFunc) int64 { return mustPropose(b, f.vms[i%11].Feed, build) })
 		})
-		b.Run(s.name+"/relays", func(b *testing.B) {
-			f := s.start(b, Config{})
+		b.Run(topo.name+"/relays", func(b *testing.B) {
+			f := topo.start(b, Config{})
 			outside := newStoreFeed(b, f.store)
 			measure(b, f, func(_ int, build BuildFunc) int64 { return mustPropose(b, outside, build) })
 		})
@@ -67,7 +67,7 @@
 func measure(b *testing.B, f *fleet, propose func(int, BuildFunc) int64) {
 	h := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 	for i := range b.N {
-		// Spread the changes over the phases of the polls.
+		// Make the changes at different points of the poll interval.
 		time.Sleep(time.Duration(i%7) * 70 * time.Millisecond)
 		start := time.Now()
 		n := propose(i, createAccount(fmt.Sprint("account", i)))
--- a/pkg/feed/propose_test.go
+++ b/pkg/feed/propose_test.go
@@ -12,7 +12,7 @@
 	"crocusramp.dev/crocusramp/pkg/storage"
 )
 
-// createAccount returns a Build that creates an account.
+// createAccount returns a BuildFunc that creates an account.
 func createAccount(name string) BuildFunc {
 	return func(*config.Config) (config.Change, error) {
 		a := config.Account{Name: name, Rate: 1, Burst: 1, Weight: 1}
@@ -20,8 +20,8 @@
 	}
 }
 
-// setRate returns a Build that sets the rate of an account and keeps its other
-// fields.
+// setRate returns a BuildFunc that sets the rate of an account and keeps its
+// other fields.
 func setRate(name string, rate float64) BuildFunc {
 	return func(c *config.Config) (config.Change, error) {
 		a := config.Account{Name: name, Burst: 1, Weight: 1}
--- a/pkg/feed/relay.go
+++ b/pkg/feed/relay.go
@@ -31,17 +31,17 @@
 	// since is when this VM first saw the revision. Only its own clock decides
 	// when the lease has expired.
 	since clock.Time
-	// known is false until the lease has been observed.
-	known bool
+	// observed is false until this VM has read the lease or a peer has reported it.
+	observed bool
 }
 
 // observe returns the observation updated by a row that was read at now. An
 // unchanged revision keeps its since.
 func (o observation) observe(row relayRow, revision int64, now clock.Time) observation {
-	if o.known && o.revision == revision {
+	if o.observed && o.revision == revision {
 		return o
 	}
-	return observation{row: row, revision: revision, since: now, known: true}
+	return observation{row: row, revision: revision, since: now, observed: true}
 }
 
 // mayAcquire reports whether the incarnation may acquire or renew the lease: it
@@ -80,7 +80,7 @@
 	return duties{
 		read:     (s.isRelay || fallback) && !s.now.Before(s.nextRead),
 		campaign: (s.isRelay || fallback || !s.relayKnown) && !s.now.Before(s.nextCampaign),
-		consult:  s.age > fraction(s.maxAge, consultAfter),
+		consult:  s.age > fraction(s.maxAge, consultAge),
 	}
 }
 
--- a/pkg/feed/server.go
+++ b/pkg/feed/server.go
@@ -137,11 +137,11 @@
 	if address == "" {
 		return
 	}
-	a, err := f.pull(ctx, address, 0)
-	if err != nil || !a.ready {
+	result, err := f.pull(ctx, address, 0)
+	if err != nil || !result.ready {
 		return
 	}
-	f.cfg.Loop.Call(ctx, func() { f.applyUpdate(a.update) })
+	f.cfg.Loop.Call(ctx, func() { f.applyUpdate(result.update) })
 }
 
 // pushAccepted pushes an accepted change to the peers. It returns when one of
