--- a/pkg/config/config.go
+++ b/pkg/config/config.go
@@ -19,8 +19,8 @@
 	ErrVersion = errors.New("version conflict")
 )
 
-// Priority is the class of a route's requests in the queues; the classes are
-// listed in the order in which they are served.
+// Priority is the class of a route's requests in the queues. Higher classes are
+// served first, but each lower class is guaranteed a minimum share.
 type Priority string
 
 // The priority classes.
@@ -48,11 +48,12 @@
 	Rate float64 `json:"rate"`
 	// Burst is how many requests may arrive at once, over the whole fleet.
 	Burst float64 `json:"burst"`
-	// Weight is its relative part of the capacity under contention; usually 1.
+	// Weight is its relative share of the capacity under contention; usually 1.
 	Weight int `json:"weight"`
 	// Regions are the regions in which its requests may run; empty means all.
 	Regions []string `json:"regions,omitempty"`
-	// Rank overrides the rank of the route; nil keeps it.
+	// Rank orders requests under contention and is compared before the rank of
+	// their routes; 0 is the most urgent. Nil means the route's rank.
 	Rank *int `json:"rank,omitempty"`
 }
 
@@ -90,7 +91,7 @@
 	MaxAttempts int `json:"max_attempts,omitempty"`
 	// Objective is the latency objective: a response is worth most within this time.
 	Objective time.Duration `json:"objective,omitempty"`
-	// Rank orders routes under contention; 0 is served first.
+	// Rank orders requests under contention; 0 is the most urgent.
 	Rank int `json:"rank,omitempty"`
 	// Regions are the regions in which requests may run; empty means all.
 	Regions []string `json:"regions,omitempty"`
@@ -117,7 +118,8 @@
 	MaxConnections int `json:"max_connections"`
 	// ColdStart is how long a target is slow after its start.
 	ColdStart time.Duration `json:"cold_start"`
-	// ColdRate is how many requests per second a target can handle until then.
+	// ColdRate is how many requests per second a target can handle during
+	// ColdStart.
 	ColdRate float64 `json:"cold_rate"`
 }
 
--- a/pkg/config/drained.go
+++ b/pkg/config/drained.go
@@ -1,8 +1,8 @@
 package config
 
 // Drained reports whether a VM (DrainVM) or target (DrainTarget) is drained, by
-// a drain of itself, its failure domain or its region. The subject of a failure
-// domain's drain is "failure_domain", in any region, or
+// a drain of itself, its failure domain or its region. The subject of a drain of
+// a failure domain is "failure_domain", which matches in every region, or
 // "region/failure_domain".
 func (c *Config) Drained(kind DrainKind, id, region, failureDomain string) bool {
 	for _, d := range c.Drains {
--- a/pkg/config/validate.go
+++ b/pkg/config/validate.go
@@ -267,7 +267,7 @@
 	var zero P
 	for name, v := range entities {
 		if v == zero || v.name() != name {
-			return fmt.Errorf("%v stands under another name: %w", Entity{kind, name}, ErrInvalid)
+			return fmt.Errorf("%v is null or stored under another name: %w", Entity{kind, name}, ErrInvalid)
 		}
 		if err := validate(v); err != nil {
 			return err
