--- a/pkg/storage/platform.go
+++ b/pkg/storage/platform.go
@@ -16,7 +16,7 @@
 	// the call before doing anything. A write that fails with it had no effect.
 	ErrUnavailable = errors.New("platform unavailable")
 	// ErrIndeterminate reports that the response to a write was lost: the write
-	// may or may not have taken effect. Readers resolve it by reading back.
+	// may or may not have taken effect. Callers find out by reading back.
 	ErrIndeterminate = errors.New("write outcome unknown")
 )
 
