--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -39,8 +39,8 @@
 	// idleTimeout is how long connections of callers and peers may stay idle
 	// before they are closed.
 	idleTimeout = 2 * time.Minute
-	// quietPeriod is how long no request may arrive before a stopping VM ends
-	// its notice period early.
+	// quietPeriod is the time without a new request after which a stopping VM
+	// ends its notice period early.
 	quietPeriod = time.Second
 	// deliveryTimeout bounds the delivery of the last responses while stopping.
 	deliveryTimeout = 500 * time.Millisecond
@@ -204,7 +204,7 @@
 		RequireEcho: func(pool string) bool { return requireEcho[pool] },
 	})
 	d.operators = operator.NewServer(operator.Config{
-		Feed: d.feed, Status: d, KnownNames: places(s), Log: d.log, Metrics: d.registry,
+		Feed: d.feed, Status: d, KnownNames: knownNames(s), Log: d.log, Metrics: d.registry,
 	})
 	d.servers.callers.Handler = d.callersHandler()
 	d.servers.operators.Handler = d.operatorsHandler()
--- a/pkg/daemon/health.go
+++ b/pkg/daemon/health.go
@@ -19,7 +19,7 @@
 }
 
 // readyz responds with 200 if this VM can serve requests with a key, and with
-// 503 and the causes otherwise.
+// 503 and the reasons otherwise.
 func (d *Daemon) readyz(w http.ResponseWriter, _ *http.Request) {
 	state := readiness{Missing: d.missing()}
 	state.Ready = len(state.Missing) == 0
@@ -36,7 +36,7 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// missing returns the causes why the daemon cannot serve requests with a key.
+// missing returns the reasons why the daemon cannot serve requests with a key.
 func (d *Daemon) missing() []string {
 	var missing []string
 	if d.stopping.Load() {
--- a/pkg/daemon/main_test.go
+++ b/pkg/daemon/main_test.go
@@ -219,9 +219,9 @@
 	return pair
 }
 
-// TestPeersRequireCertificate checks that VMs reach each other over TLS and that
+// TestPeersRequireTLS checks that VMs reach each other over TLS and that
 // the peer port does not serve plain HTTP.
-func TestPeersRequireCertificate(t *testing.T) {
+func TestPeersRequireTLS(t *testing.T) {
 	s := startStandins(t)
 	pair := issueSelfSigned(t, t.TempDir())
 	var daemons []*Daemon
