--- a/pkg/operator/accounts.go
+++ b/pkg/operator/accounts.go
@@ -35,9 +35,9 @@
 }
 
 // update applies a patch to an account.
-func (w *baseService) update(ctx context.Context, name string, p accountPatch, expected int64) (*operatorpb.AccountResponse, error) {
+func (s *baseService) update(ctx context.Context, name string, p accountPatch, expected int64) (*operatorpb.AccountResponse, error) {
 	var a config.Account
-	version, err := w.propose(ctx, expected, func(c *config.Config) (config.Action, error) {
+	version, err := s.propose(ctx, expected, func(c *config.Config) (config.Action, error) {
 		current, err := find(c.Accounts, config.KindAccount, name)
 		if err != nil {
 			return config.Action{}, err
--- a/pkg/operator/places.go
+++ b/pkg/operator/places.go
@@ -20,35 +20,35 @@
 }
 
 // check returns an error if the action refers to a name that is not listed.
-func (p *KnownNames) check(a config.Action) error {
+func (n *KnownNames) check(a config.Action) error {
 	switch {
 	case a.Route != nil && a.Route.Value != nil:
-		return checkName(config.Entity{Kind: config.KindRoute, Name: a.Route.Name}, "pool", a.Route.Value.Pool, p.Pools)
+		return checkName(config.Entity{Kind: config.KindRoute, Name: a.Route.Name}, "pool", a.Route.Value.Pool, n.Pools)
 	case a.Shift != nil && a.Shift.Value != nil:
-		return p.checkShift(a.Shift.Value)
+		return n.checkShift(a.Shift.Value)
 	case a.Drain != nil && a.Drain.Value != nil:
-		return p.checkDrain(a.Drain.Value)
+		return n.checkDrain(a.Drain.Value)
 	}
 	return nil
 }
 
-func (p *KnownNames) checkShift(s *config.Shift) error {
+func (n *KnownNames) checkShift(s *config.Shift) error {
 	e := config.Entity{Kind: config.KindShift, Name: s.Name}
-	if err := checkName(e, "pool", s.Pool, p.Pools); err != nil {
+	if err := checkName(e, "pool", s.Pool, n.Pools); err != nil {
 		return err
 	}
-	if err := checkName(e, "from", s.From, p.Regions); err != nil {
+	if err := checkName(e, "from", s.From, n.Regions); err != nil {
 		return err
 	}
-	return checkName(e, "to", s.To, p.Regions)
+	return checkName(e, "to", s.To, n.Regions)
 }
 
 // checkDrain does not check the IDs of VMs, because VMs join and leave at run time.
-func (p *KnownNames) checkDrain(d *config.Drain) error {
+func (n *KnownNames) checkDrain(d *config.Drain) error {
 	lists := map[config.DrainKind][]string{
-		config.DrainRegion:        p.Regions,
-		config.DrainFailureDomain: p.FailureDomains,
-		config.DrainTarget:        p.Targets,
+		config.DrainRegion:        n.Regions,
+		config.DrainFailureDomain: n.FailureDomains,
+		config.DrainTarget:        n.Targets,
 	}
 	return checkName(config.Entity{Kind: config.KindDrain, Name: d.Name}, "subject", d.Subject, lists[d.Kind])
 }
--- a/pkg/operator/writer.go
+++ b/pkg/operator/writer.go
@@ -36,22 +36,22 @@
 }
 
 // snapshot returns the configuration in force on this VM.
-func (w *baseService) snapshot() (*config.Config, error) {
-	if !w.cfg.Feed.Ready() {
+func (s *baseService) snapshot() (*config.Config, error) {
+	if !s.cfg.Feed.Ready() {
 		return nil, unavailable(errors.New("this VM has no configuration yet"))
 	}
-	return w.cfg.Feed.Snapshot().Config, nil
+	return s.cfg.Feed.Snapshot().Config, nil
 }
 
 // propose proposes the change that build returns for the newest configuration, and returns the new
-// version. expected is the version that the change must be made from, 0 for any.
-func (w *baseService) propose(ctx context.Context, expected int64, build func(*config.Config) (config.Action, error)) (int64, error) {
+// version. If expected is above 0, the configuration must be at that version.
+func (s *baseService) propose(ctx context.Context, expected int64, build func(*config.Config) (config.Action, error)) (int64, error) {
 	if expected < 0 {
 		return 0, twirp.InvalidArgumentError("expected_version", "must not be negative")
 	}
 	var subject config.Entity
 	var op config.Op
-	version, err := w.cfg.Feed.Propose(ctx, func(c *config.Config) (config.Change, error) {
+	version, err := s.cfg.Feed.Propose(ctx, func(c *config.Config) (config.Change, error) {
 		action, err := build(c)
 		if err != nil {
 			return config.Change{}, err
@@ -59,24 +59,24 @@
 		if subject, op, err = action.Subject(); err != nil {
 			return config.Change{}, err
 		}
-		return config.Change{Action: action}, w.cfg.KnownNames.check(action)
+		return config.Change{Action: action}, s.cfg.KnownNames.check(action)
 	}, expected)
 	if err != nil {
 		return 0, toTwirp(err)
 	}
-	w.cfg.Log.Info().Str("operation", string(op)).Str("kind", string(subject.Kind)).Str("name", subject.Name).
+	s.cfg.Log.Info().Str("operation", string(op)).Str("kind", string(subject.Kind)).Str("name", subject.Name).
 		Int64("version", version).Msg("configuration change accepted")
 	return version, nil
 }
 
 // put proposes a change that does not depend on the current configuration.
-func (w *baseService) put(ctx context.Context, expected int64, a config.Action) (int64, error) {
-	return w.propose(ctx, expected, func(*config.Config) (config.Action, error) { return a, nil })
+func (s *baseService) put(ctx context.Context, expected int64, a config.Action) (int64, error) {
+	return s.propose(ctx, expected, func(*config.Config) (config.Action, error) { return a, nil })
 }
 
 // remove proposes a change that deletes an entity.
-func (w *baseService) remove(ctx context.Context, expected int64, a config.Action) (*operatorpb.DeleteResponse, error) {
-	version, err := w.put(ctx, expected, a)
+func (s *baseService) remove(ctx context.Context, expected int64, a config.Action) (*operatorpb.DeleteResponse, error) {
+	version, err := s.put(ctx, expected, a)
 	if err != nil {
 		return nil, err
 	}
