--- a/pkg/dev/dev.go
+++ b/pkg/dev/dev.go
@@ -43,13 +43,13 @@
 
 // fleet holds the servers that Run starts.
 type fleet struct {
-	ctx       context.Context
-	group     *errgroup.Group
-	log       zerolog.Logger
-	platform  settings.Platform
-	directory *directory.Server
-	targets   []settings.Pool
-	daemons   []*daemon.Daemon
+	ctx         context.Context
+	group       *errgroup.Group
+	log         zerolog.Logger
+	platform    settings.Platform
+	directory   *directory.Server
+	targetPools []settings.Pool
+	daemons     []*daemon.Daemon
 }
 
 // Run starts the fleet, prints example commands to stdout, and serves until ctx
@@ -136,7 +136,7 @@
 				})
 			}
 		}
-		f.targets = append(f.targets, p)
+		f.targetPools = append(f.targetPools, p)
 	}
 	return nil
 }
@@ -174,7 +174,7 @@
 		Listen:   settings.Listen{Callers: callers, Operators: operators, Peers: anyPort},
 		Regions:  regions,
 		Platform: f.platform,
-		Pools:    f.targets,
+		Pools:    f.targetPools,
 		Stop:     settings.Stop{Notice: settings.Duration{Duration: time.Second}},
 	})
 	if err != nil {
