--- a/pkg/standin/fault/fault_test.go
+++ b/pkg/standin/fault/fault_test.go
@@ -56,7 +56,7 @@
 
 func TestTokenBucket(t *testing.T) {
 	now := time.Unix(0, 0)
-	c := newTokenBucket(10, now)
+	bucket := newTokenBucket(10, now)
 	steps := []struct {
 		after time.Duration
 		n     int
@@ -64,7 +64,7 @@
 	}{{0, 10, true}, {0, 1, false}, {100 * time.Millisecond, 1, true}, {0, 1, false}, {time.Hour, 11, false}, {0, 10, true}}
 	for i, s := range steps {
 		now = now.Add(s.after)
-		if got := c.take(s.n, now); got != s.want {
+		if got := bucket.take(s.n, now); got != s.want {
 			t.Errorf("step %d: take returned %v", i, got)
 		}
 	}
--- a/pkg/standin/target/ledger.go
+++ b/pkg/standin/target/ledger.go
@@ -16,7 +16,8 @@
 // Ending is how a request ended on the target.
 type Ending string
 
-// The values of Ending.
+// The values of Ending. EndingTruncated, EndingCrossed and EndingLost result
+// from the faults Truncate, Cross and LoseResponses.
 const (
 	EndingRunning   Ending = "running"
 	EndingDone      Ending = "done"
