--- a/test/capacity/fleet_test.go
+++ b/test/capacity/fleet_test.go
@@ -30,9 +30,9 @@
 	// warmUp is how long a fleet runs before it is measured.
 	warmUp = 8 * time.Second
 	// measurePeriod is how long the measurement takes.
-	measurePeriod = 10 * time.Second
-	regions       = 3
-	domains       = 2
+	measurePeriod    = 10 * time.Second
+	regions          = 3
+	domainsPerRegion = 2
 )
 
 // accounts is the number of client accounts in a fleet.
@@ -68,7 +68,7 @@
 			operators = f.operators
 		}
 		text, err := json.Marshal(settings.Settings{
-			VM:      settings.VM{ID: fmt.Sprintf("vm-%03d", i), Region: region, FailureDomain: fmt.Sprint(region, "-", i/regions%domains)},
+			VM:      settings.VM{ID: fmt.Sprintf("vm-%03d", i), Region: region, FailureDomain: fmt.Sprint(region, "-", i/regions%domainsPerRegion)},
 			Listen:  settings.Listen{Callers: anyPort, Operators: operators, Peers: anyPort},
 			Regions: regionNames,
 			Slots:   max(16, 2*n),
--- a/test/scenario/fleet_test.go
+++ b/test/scenario/fleet_test.go
@@ -28,8 +28,10 @@
 	vms, targets map[string]string
 	targetNames  []string // in order of their numbers
 	config       fleetConfig
-	base         settings.Settings
-	vmList       []storage.VM
+	// base holds the settings that all VMs share.
+	base settings.Settings
+	// vmList is the platform's list of VMs.
+	vmList []storage.VM
 }
 
 // fleetConfig holds the flags of the fleet command.
