--- a/pkg/config/config.go
+++ b/pkg/config/config.go
@@ -95,7 +95,7 @@
 	Rank int `json:"rank,omitempty"`
 	// Regions are the regions in which requests may run; empty means all.
 	Regions []string `json:"regions,omitempty"`
-	// Bulky routes have large responses; their requests stay in the caller's
+	// Bulky reports that responses are large; requests then stay in the caller's
 	// region if possible.
 	Bulky bool `json:"bulky,omitempty"`
 	// Sticky reports that a target handles a request faster if it recently
