--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -41,7 +41,7 @@
 	// Done requests ran. Their Record holds the response if it is small.
 	Done State = "done"
 	// Incomplete requests were sent to a target, but no complete response arrived.
-	Ended State = "ended"
+	Incomplete State = "ended"
 	// Released requests did not run and never will. They may be claimed again.
 	Released State = "released"
 )
--- a/pkg/claim/session.go
+++ b/pkg/claim/session.go
@@ -16,7 +16,7 @@
 )
 
 // TicketStoreConfig configures a TicketStore.
-type SessionConfig struct {
+type TicketStoreConfig struct {
 	VM          string
 	Incarnation string
 	Clock       clock.Clock
@@ -30,8 +30,8 @@
 
 // TicketStore issues tickets and records, in memory, the requests with ticketed keys that this
 // process ran. It is safe for concurrent use.
-type Session struct {
-	config SessionConfig
+type TicketStore struct {
+	config TicketStoreConfig
 	issuer *issuer
 
 	mu sync.Mutex
@@ -56,7 +56,7 @@
 }
 
 // NewTicketStore returns a TicketStore with a new secret.
-func NewSession(c SessionConfig) *Session {
+func NewTicketStore(c TicketStoreConfig) *TicketStore {
 	if c.MaxRequests == 0 {
 		c.MaxRequests = defaultMaxRequests
 	}
@@ -67,7 +67,7 @@
 	if err != nil {
 		panic(err) // only a size below 1 fails
 	}
-	return &Session{
+	return &TicketStore{
 		config:    c,
 		issuer:    newIssuer(c.VM, c.Incarnation),
 		requests:  map[[sha256.Size]byte]*request{},
@@ -76,7 +76,7 @@
 }
 
 // Issue returns a new ticket for requests of the account.
-func (s *Session) Issue(account string) string {
+func (s *TicketStore) Issue(account string) string {
 	return s.issuer.issue(account, s.config.Clock.Now().Add(TicketTTL))
 }
 
@@ -100,7 +100,7 @@
 
 // Begin decides whether the request may run, and records it if so. The Record is set only
 // if the request was recorded before.
-func (s *Session) Begin(id ID, t *Ticket) (Decision, *Record) {
+func (s *TicketStore) Begin(id ID, t *Ticket) (Decision, *Record) {
 	if !s.issuer.verify(t, id.Account) {
 		return Forged, nil
 	}
@@ -125,7 +125,7 @@
 
 // Known reports whether the request is recorded: it was begun and neither released nor removed
 // after its ticket expired.
-func (s *Session) Known(id ID) bool {
+func (s *TicketStore) Known(id ID) bool {
 	h := hashID(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +135,7 @@
 
 // removeExpiredLocked removes the requests whose tickets have expired. An expired request that is
 // listed behind one that has not expired is kept for longer, which is harmless.
-func (s *Session) removeExpiredLocked(now clock.Time) {
+func (s *TicketStore) removeExpiredLocked(now clock.Time) {
 	for len(s.expiry) > 0 && !now.Before(s.expiry[0].expires) {
 		delete(s.requests, s.expiry[0].id)
 		s.expiry = s.expiry[1:]
@@ -143,7 +143,7 @@
 }
 
 // recordLocked returns the Record of a request, with the response if it is still kept.
-func (s *Session) recordLocked(h [sha256.Size]byte, e *request) *Record {
+func (s *TicketStore) recordLocked(h [sha256.Size]byte, e *request) *Record {
 	r := &Record{VM: s.config.VM, Incarnation: s.config.Incarnation, State: e.state, Response: Response{Status: e.status}}
 	if a, ok := s.responses.Get(h); ok {
 		r.Response = a
@@ -152,7 +152,7 @@
 }
 
 // Finish records the final state of the request and its response.
-func (s *Session) Finish(id ID, state State, response Response) {
+func (s *TicketStore) Finish(id ID, state State, response Response) {
 	h := hashID(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/claim/session_test.go
+++ b/pkg/claim/session_test.go
@@ -8,15 +8,15 @@
 	"crocusramp.dev/crocusramp/pkg/clock"
 )
 
-func newTestTicketStore(c *clock.Fake, change func(*SessionConfig)) *Session {
-	config := SessionConfig{VM: "vm-1", Incarnation: "i-1", Clock: c}
+func newTestTicketStore(c *clock.Fake, change func(*TicketStoreConfig)) *TicketStore {
+	config := TicketStoreConfig{VM: "vm-1", Incarnation: "i-1", Clock: c}
 	if change != nil {
 		change(&config)
 	}
-	return NewSession(config)
+	return NewTicketStore(config)
 }
 
-func begin(t *testing.T, s *Session, account, key string) (Decision, *Record) {
+func begin(t *testing.T, s *TicketStore, account, key string) (Decision, *Record) {
 	t.Helper()
 	ticket, ticketed := ParseTicket(key)
 	if !ticketed || ticket == nil {
@@ -75,7 +75,7 @@
 
 func TestTicketStoreRefusesWhenFull(t *testing.T) {
 	fake := clock.NewFake(1)
-	s := newTestTicketStore(fake, func(c *SessionConfig) { c.MaxRequests, c.MaxResponses = 2, 1 })
+	s := newTestTicketStore(fake, func(c *TicketStoreConfig) { c.MaxRequests, c.MaxResponses = 2, 1 })
 	ticket := s.Issue("acme")
 	for _, suffix := range []string{"/1", "/2"} {
 		if v, _ := begin(t, s, "acme", ticket+suffix); v != Run {
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -149,8 +149,8 @@
 	})
 	d.table = platform.NewTable(store)
 	d.members = member.NewProber(member.Config{
-		Self: d.self, Directory: directory.New(s.Platform.Directory.URL), Dialer: d.dialer,
-		Loop: d.loop, Clock: clock.System{}, Log: d.log, Local: d.describeSelf,
+		Self: d.self, Directory: directory.New(s.Platform.Directory.URL), PeerDialer: d.dialer,
+		Loop: d.loop, Clock: clock.System{}, Log: d.log, UpdateSelf: d.describeSelf,
 		ListPeriod: s.Platform.Directory.Poll.Duration,
 	})
 	d.leases = lease.NewManager(lease.Config{
@@ -172,7 +172,7 @@
 func (d *Daemon) buildTraffic() {
 	s := d.settings
 	d.limiter = limit.NewService(limit.Config{
-		Config: d.feed, Slots: d.leases, Members: d.members, Peers: d.dialer,
+		Config: d.feed, Slots: d.leases, Members: d.members, PeerDialer: d.dialer,
 		Clock: clock.System{}, Loop: d.loop, Log: d.log, Metrics: d.registry,
 	})
 	d.countedLimiter = &countingLimiter{Limiter: d.limiter}
--- a/pkg/deathreport/deathreport.go
+++ b/pkg/deathreport/deathreport.go
@@ -40,8 +40,8 @@
 	List    *quarantine.List
 	Members member.Source
 	// PeerDialer connects to other VMs; nil if there are none.
-	Peers *peer.Dialer
-	Log   zerolog.Logger
+	PeerDialer *peer.Dialer
+	Log        zerolog.Logger
 	// PathPrefix is the path under which peers serve the service. Default: twirp's own prefix.
 	PathPrefix string
 }
@@ -78,7 +78,7 @@
 	if !s.cfg.List.RecordDeath(f, d) {
 		return false
 	}
-	if s.cfg.Peers == nil {
+	if s.cfg.PeerDialer == nil {
 		return true
 	}
 	s.mu.Lock()
@@ -111,7 +111,7 @@
 			continue
 		}
 		g.Go(func() error {
-			client := peerpb.NewRequestProtobufClient(s.cfg.Peers.BaseURL(p.PeerAddress), s.cfg.Peers.HTTPClient(), twirp.WithClientPathPrefix(s.cfg.PathPrefix))
+			client := peerpb.NewRequestProtobufClient(s.cfg.PeerDialer.BaseURL(p.PeerAddress), s.cfg.PeerDialer.HTTPClient(), twirp.WithClientPathPrefix(s.cfg.PathPrefix))
 			if _, err := client.ReportDeaths(ctx, request); err != nil {
 				s.cfg.Log.Warn().Err(err).Str("vm", p.ID).Msg("failed to report target deaths to a peer")
 			}
--- a/pkg/deathreport/deathreport_test.go
+++ b/pkg/deathreport/deathreport_test.go
@@ -21,7 +21,7 @@
 
 func (p peers) View() *member.View { return &member.View{Peers: p} }
 
-var fingerprint = quarantine.NewFingerprint(quarantine.Base{1}, []byte("body"))
+var fingerprint = quarantine.NewFingerprint(quarantine.BaseHash{1}, []byte("body"))
 
 // TestDeathsReachThePeers checks that a death that one VM reports makes a request suspect on the
 // others, also on a leaving VM, and that a VM that does not answer delays no other.
@@ -38,7 +38,7 @@
 	defer silent.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 	sender := New(Config{
-		List: quarantine.NewList(quarantine.Config{}), Peers: peer.NewDialer(nil), Log: zerolog.Nop(),
+		List: quarantine.NewList(quarantine.Config{}), PeerDialer: peer.NewDialer(nil), Log: zerolog.Nop(),
 		Members: peers{{ID: "silent", State: member.Silent, PeerAddress: silent.Addr().String()}, {ID: "other", State: member.Leaving, PeerAddress: address}},
 	})
 	for i, id := range []string{"a@1", "b@1", "b@1"} {
--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -161,21 +161,21 @@
 	d.dialer = peer.NewDialer(nil)
 	d.fleet = newRegistry(Registration{ID: s.VM.ID, PeerAddress: s.Listen.Peers}, d.clock.Now(), s.FirstStart, &d.settings)
 	d.members = member.NewProber(member.Config{
-		Self: d.self, Directory: d.fleet, Dialer: d.dialer, Loop: d.loop, Clock: d.clock, Log: d.log,
-		Local: d.fillStatus, ListPeriod: listPeriod, MaxProbePeriod: maxProbePeriod,
+		Self: d.self, Directory: d.fleet, PeerDialer: d.dialer, Loop: d.loop, Clock: d.clock, Log: d.log,
+		UpdateSelf: d.fillStatus, ListPeriod: listPeriod, MaxProbePeriod: maxProbePeriod,
 	})
 	d.limiter = limit.NewService(limit.Config{
-		Config: d, Slots: d.fleet, Members: d.members, Peers: d.dialer, Clock: d.clock, Loop: d.loop, Log: d.log, Metrics: d.metrics,
+		Config: d, Slots: d.fleet, Members: d.members, PeerDialer: d.dialer, Clock: d.clock, Loop: d.loop, Log: d.log, Metrics: d.metrics,
 		StartTokens: d.fleet.startTokens,
 	})
 	d.quarantine = quarantine.NewList(quarantine.Config{
-		Size: maxSuspects, Memory: suspectRetention, Duration: quarantineTime, Backoff: quarantineBackoff, MaxTrials: maxTrials, Answered: maxAnswered, Clock: d.clock,
+		Size: maxSuspects, Retention: suspectRetention, Duration: quarantineTime, Backoff: quarantineBackoff, MaxTrials: maxTrials, MaxAnswered: maxAnswered, Clock: d.clock,
 	})
 	d.suspects = newSuspects(d)
 	d.targets = target.NewRegistry(s.FailureDomains, time.Now())
 	d.targetLimits = newTargetLimits()
 	d.targetLimits.service = limit.NewService(limit.Config{
-		Config: d.targetLimits, Slots: lendableHolder{d.fleet}, Members: d.members, Peers: d.dialer, Clock: d.clock, Loop: d.loop, Log: d.log, Metrics: d.metrics,
+		Config: d.targetLimits, Slots: lendableHolder{d.fleet}, Members: d.members, PeerDialer: d.dialer, Clock: d.clock, Loop: d.loop, Log: d.log, Metrics: d.metrics,
 		Name: limiterName, PreferredRegion: d.targetLimits.regionOf, Prefetch: true,
 	})
 }
--- a/pkg/edge/suspects.go
+++ b/pkg/edge/suspects.go
@@ -104,7 +104,7 @@
 func newSuspects(d *Daemon) *suspects {
 	return &suspects{
 		list: d.quarantine, store: d.store, clock: d.clock, log: d.log, isCoordinator: d.fleet.isCoordinator,
-		reports: deathreport.New(deathreport.Config{List: d.quarantine, Members: d.members, Peers: d.dialer, Log: d.log}),
+		reports: deathreport.New(deathreport.Config{List: d.quarantine, Members: d.members, PeerDialer: d.dialer, Log: d.log}),
 		wakeups: make(chan struct{}, 1), rows: map[string]*suspectRow{}, missingSince: map[string]clock.Time{}, sawDeath: map[string]bool{},
 		trialAskedAt: map[string]clock.Time{}, lastHeartbeat: map[string]clock.Time{},
 	}
--- a/pkg/edge/suspects_test.go
+++ b/pkg/edge/suspects_test.go
@@ -63,7 +63,7 @@
 func (noPeers) View() *member.View { return &member.View{} }
 
 func newTestSuspects(store *fakeStore, c *clock.Fake) *suspects {
-	list := quarantine.NewList(quarantine.Config{Size: maxSuspects, Memory: suspectRetention, Duration: quarantineTime, Backoff: quarantineBackoff, MaxTrials: maxTrials, Answered: maxAnswered, Clock: c})
+	list := quarantine.NewList(quarantine.Config{Size: maxSuspects, Retention: suspectRetention, Duration: quarantineTime, Backoff: quarantineBackoff, MaxTrials: maxTrials, MaxAnswered: maxAnswered, Clock: c})
 	return &suspects{
 		list: list, store: store, clock: c, log: zerolog.Nop(), isCoordinator: func() bool { return true },
 		reports: deathreport.New(deathreport.Config{List: list, Members: noPeers{}, Log: zerolog.Nop()}),
@@ -83,7 +83,7 @@
 	s.removeRows(t.Context())
 }
 
-var poison = quarantine.NewFingerprint(quarantine.Base{1}, []byte("poison"))
+var poison = quarantine.NewFingerprint(quarantine.BaseHash{1}, []byte("poison"))
 
 func (s *suspects) reportTwoDeaths() {
 	s.Report(poison, quarantine.Death{ID: "a@1", Target: "a"})
@@ -103,7 +103,7 @@
 			t.Errorf("row %s is not recognized as a suspect's row", row.Key)
 		}
 	}
-	if j := after.list.Assess(poison.Base, []byte("poison")); !j.Quarantined {
+	if j := after.list.Assess(poison.BaseHash, []byte("poison")); !j.Quarantined {
 		t.Errorf("after the restart: %+v", j)
 	}
 }
@@ -120,12 +120,12 @@
 	for _, row := range store.all() {
 		after.apply(row)
 	}
-	j := after.list.Assess(poison.Base, []byte("poison"))
+	j := after.list.Assess(poison.BaseHash, []byte("poison"))
 	if j.Restricted() || j.Deaths != 2 {
 		t.Fatalf("after the restart: %+v", j)
 	}
 	after.Report(poison, quarantine.Death{ID: "c@1", Target: "c", Prior: j.Deaths})
-	if j := after.list.Assess(poison.Base, []byte("poison")); !j.Quarantined {
+	if j := after.list.Assess(poison.BaseHash, []byte("poison")); !j.Quarantined {
 		t.Errorf("after the third death: %+v", j)
 	}
 }
@@ -143,7 +143,7 @@
 	for _, row := range store.all() {
 		after.apply(row)
 	}
-	if j := after.list.Assess(poison.Base, []byte("poison")); j.Deaths != 3 || !j.Restricted() {
+	if j := after.list.Assess(poison.BaseHash, []byte("poison")); j.Deaths != 3 || !j.Restricted() {
 		t.Errorf("after the restart: %+v", j)
 	}
 	if writes := store.writes; writes != 2 {
@@ -192,7 +192,7 @@
 	s.reportTwoDeaths()
 	s.syncOnce(t)
 	for i := range 4 * maxSuspects {
-		f := quarantine.NewFingerprint(quarantine.Base{2, byte(i), byte(i >> 8)}, nil)
+		f := quarantine.NewFingerprint(quarantine.BaseHash{2, byte(i), byte(i >> 8)}, nil)
 		s.Report(f, quarantine.Death{ID: "c@1", Target: "c"})
 	}
 	s.syncOnce(t)
@@ -247,7 +247,7 @@
 	}
 	rows[0].Removed = true
 	other.apply(rows[0])
-	if j := other.list.Assess(poison.Base, []byte("poison")); j != (quarantine.Assessment{}) {
+	if j := other.list.Assess(poison.BaseHash, []byte("poison")); j != (quarantine.Assessment{}) {
 		t.Errorf("the other VM still assesses the request as %+v", j)
 	}
 }
--- a/pkg/entry/answer.go
+++ b/pkg/entry/answer.go
@@ -141,7 +141,7 @@
 	result := dispatch.Result{Outcome: outcome.Done, Status: a.status, Latency: time.Since(a.started)}
 	state := claim.Done
 	if err != nil {
-		result.Outcome, state = outcome.Unknown, claim.Ended
+		result.Outcome, state = outcome.Unknown, claim.Incomplete
 	}
 	if a.recordEnd != nil {
 		a.recordEnd(state, claim.Response{Status: a.status})
--- a/pkg/entry/once.go
+++ b/pkg/entry/once.go
@@ -187,7 +187,7 @@
 		if a.refusal.Outcome == outcome.NotRun {
 			return claim.Released, claim.Response{}
 		}
-		return claim.Ended, claim.Response{}
+		return claim.Incomplete, claim.Response{}
 	}
 	response := claim.Response{Status: a.status}
 	if len(a.head) > maxRecordedBodyBytes || headerFieldBytes(a.header) > maxRecordedHeaderBytes {
--- a/pkg/entry/poison.go
+++ b/pkg/entry/poison.go
@@ -18,7 +18,7 @@
 func newDeathID(target string) string { return target + deathSeparator + uuid.NewString() }
 
 // baseHash returns the hash of what is known of the call before its body is read.
-func (c *call) baseHash() quarantine.Base {
+func (c *call) baseHash() quarantine.BaseHash {
 	return sha256.Sum256(fmt.Appendf(nil, "%q %q %q %q %d",
 		c.accountName(), c.route.Name, c.r.Method, c.r.URL.RequestURI(), c.r.ContentLength))
 }
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -111,7 +111,7 @@
 	retryBudget    *retry.Budget
 	quarantine     *quarantine.List
 	deathReports   *deathreport.Service
-	session        *claim.Session
+	session        *claim.TicketStore
 	// claims is nil if there is no table.
 	claims *claim.Store
 }
@@ -130,9 +130,9 @@
 	s.abortCtx, s.abort = context.WithCancel(context.Background())
 	c.Quarantine.Clock = c.Clock
 	s.quarantine = quarantine.NewList(c.Quarantine)
-	s.deathReports = deathreport.New(deathreport.Config{List: s.quarantine, Members: c.Members, Peers: c.Peers, Log: c.Log, PathPrefix: rpcPrefix})
+	s.deathReports = deathreport.New(deathreport.Config{List: s.quarantine, Members: c.Members, PeerDialer: c.Peers, Log: c.Log, PathPrefix: rpcPrefix})
 	self := c.Members.View().Self
-	s.session = claim.NewSession(claim.SessionConfig{VM: self.ID, Incarnation: self.Incarnation, Clock: c.Clock})
+	s.session = claim.NewTicketStore(claim.TicketStoreConfig{VM: self.ID, Incarnation: self.Incarnation, Clock: c.Clock})
 	if c.Table != nil {
 		s.claims = claim.NewStore(claim.StoreConfig{Table: c.Table, VM: self.ID, Incarnation: self.Incarnation})
 	}
--- a/pkg/ingress/call.go
+++ b/pkg/ingress/call.go
@@ -73,7 +73,7 @@
 	priorDeaths        int
 	suspectFingerprint string
 	trial              bool
-	baseHash           quarantine.Base // computed on first use
+	baseHash           quarantine.BaseHash // computed on first use
 	// refusedWithFreeSlots is set if the last target refused the request although it had free
 	// slots.
 	refusedWithFreeSlots bool
--- a/pkg/ingress/fakes_test.go
+++ b/pkg/ingress/fakes_test.go
@@ -202,7 +202,7 @@
 		limits: &fakeTargetLimiter{left: map[string]int{}, asked: map[string]int{}},
 	}
 	w.clock = clock.NewFake(1)
-	w.quarantine = quarantine.NewList(quarantine.Config{Duration: 10 * time.Second, MaxTrials: 2, Backoff: 6, Answered: 64, Clock: w.clock})
+	w.quarantine = quarantine.NewList(quarantine.Config{Duration: 10 * time.Second, MaxTrials: 2, Backoff: 6, MaxAnswered: 64, Clock: w.clock})
 	w.suspects = &fakeSuspects{list: w.quarantine}
 	w.state = NewState(testConfig(), nil)
 	w.targets.SetServices(w.state.Services)
--- a/pkg/ingress/poison.go
+++ b/pkg/ingress/poison.go
@@ -25,8 +25,8 @@
 
 // base hashes what is known of the request before its body is read. It leaves out what differs
 // between the attempts of a caller: the ID, the deadline, the object.
-func (c *call) base() quarantine.Base {
-	if c.baseHash != (quarantine.Base{}) {
+func (c *call) base() quarantine.BaseHash {
+	if c.baseHash != (quarantine.BaseHash{}) {
 		return c.baseHash
 	}
 	account := ""
@@ -58,7 +58,7 @@
 	if c.streamHash == nil {
 		return quarantine.NewFingerprint(c.base(), c.body)
 	}
-	f := quarantine.Fingerprint{Base: c.base(), PrefixBytes: c.streamHash.bytes}
+	f := quarantine.Fingerprint{BaseHash: c.base(), PrefixBytes: c.streamHash.bytes}
 	c.streamHash.Sum(f.PrefixHash[:0])
 	return f
 }
--- a/pkg/limit/exchange.go
+++ b/pkg/limit/exchange.go
@@ -18,7 +18,7 @@
 
 // client returns a client for the limit service of a peer.
 func (s *Service) client(address string) peerpb.Limit {
-	return peerpb.NewLimitProtobufClient(s.cfg.Peers.BaseURL(address), s.cfg.Peers.HTTPClient(), twirp.WithClientPathPrefix(s.path()))
+	return peerpb.NewLimitProtobufClient(s.cfg.PeerDialer.BaseURL(address), s.cfg.PeerDialer.HTTPClient(), twirp.WithClientPathPrefix(s.path()))
 }
 
 // exchange calls a peer and returns its responses by account, or nil if the call failed.
--- a/pkg/limit/service.go
+++ b/pkg/limit/service.go
@@ -34,12 +34,12 @@
 	// Config publishes the client accounts' rates and bursts.
 	Config config.Source
 	// Slots publishes the slots that this VM holds.
-	Slots   lease.Holder
-	Members member.Source
-	Peers   *peer.Dialer
-	Clock   clock.Clock
-	Loop    *control.Loop
-	Log     zerolog.Logger
+	Slots      lease.Holder
+	Members    member.Source
+	PeerDialer *peer.Dialer
+	Clock      clock.Clock
+	Loop       *control.Loop
+	Log        zerolog.Logger
 	// Metrics is the registry of the service's counters; with nil they are not exported.
 	Metrics metrics.Registry
 	// Name distinguishes several services of one VM in counter names and in the path of the peer
--- a/pkg/limit/service_test.go
+++ b/pkg/limit/service_test.go
@@ -93,7 +93,7 @@
 		all[i].holding.Store(hold(16, i, n))
 		dialer := peer.NewDialer(nil)
 		services[i] = NewService(Config{
-			Config: all[i], Slots: all[i], Members: all[i], Peers: dialer,
+			Config: all[i], Slots: all[i], Members: all[i], PeerDialer: dialer,
 			Clock: clock.System{}, Loop: loop, Log: zerolog.Nop(),
 		})
 		_, handler := services[i].Handler()
@@ -212,7 +212,7 @@
 	src.view.Store(&member.View{Self: member.Peer{State: member.Leaving}})
 	now := clock.NewFake(clock.Time(time.Hour))
 	s := NewService(Config{
-		Config: src, Slots: src, Members: src, Peers: peer.NewDialer(nil),
+		Config: src, Slots: src, Members: src, PeerDialer: peer.NewDialer(nil),
 		Clock: now, Loop: control.NewLoop(), Log: zerolog.Nop(),
 	})
 	s.refresh(src.View())
@@ -237,7 +237,7 @@
 	src.holding.Store(hold(16, 0, 1))
 	src.view.Store(&member.View{})
 	s := NewService(Config{
-		Config: src, Slots: src, Members: src, Peers: peer.NewDialer(nil),
+		Config: src, Slots: src, Members: src, PeerDialer: peer.NewDialer(nil),
 		Clock: clock.System{}, Loop: control.NewLoop(), Log: zerolog.Nop(),
 	})
 	s.refresh(src.View())
--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -91,7 +91,7 @@
 	// Born is when the target started, in Unix milliseconds; 0 if unknown.
 	Born int64
 	// Limited is false if the target no longer announces a limit.
-	Named bool
+	Limited bool
 	// Rate is in requests per second.
 	Rate float64
 	// Earliest and Latest bound the time at which the VM observed the limit.
--- a/pkg/member/prober.go
+++ b/pkg/member/prober.go
@@ -38,16 +38,16 @@
 
 // Config configures a Prober. All fields without a default are required.
 type Config struct {
-	Self      Peer
-	Directory storage.Directory
-	Dialer    *peer.Dialer
-	Loop      *control.Loop
-	Clock     clock.Clock
-	Log       zerolog.Logger
+	Self       Peer
+	Directory  storage.Directory
+	PeerDialer *peer.Dialer
+	Loop       *control.Loop
+	Clock      clock.Clock
+	Log        zerolog.Logger
 	// UpdateSelf sets the fields of Self that change, such as the state, the version of
 	// the configuration and the free permits. It is called for each heartbeat, on
 	// any goroutine.
-	Local func(*Peer)
+	UpdateSelf func(*Peer)
 	// ListPeriod is how often the platform's list is read, 1 s if zero. A longer
 	// period delays the discovery of new VMs.
 	ListPeriod time.Duration
@@ -83,8 +83,8 @@
 	if cfg.ProbeTimeout == 0 {
 		cfg.ProbeTimeout = DefaultProbeTimeout
 	}
-	if cfg.Local == nil {
-		cfg.Local = func(*Peer) {}
+	if cfg.UpdateSelf == nil {
+		cfg.UpdateSelf = func(*Peer) {}
 	}
 	p := &Prober{cfg: cfg, roster: newRoster(cfg.Self), inFlight: map[string]bool{}, nextProbe: map[string]clock.Time{}}
 	// publish is not used here because UpdateSelf must not be called before Start.
@@ -178,7 +178,7 @@
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.ProbeTimeout)
 	defer cancel()
 	sent := time.Now()
-	client := peerpb.NewMemberProtobufClient(p.cfg.Dialer.BaseURL(address), p.cfg.Dialer.HTTPClient())
+	client := peerpb.NewMemberProtobufClient(p.cfg.PeerDialer.BaseURL(address), p.cfg.PeerDialer.HTTPClient())
 	response, err := client.Hello(ctx, &peerpb.HelloRequest{})
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
@@ -193,7 +193,7 @@
 // self returns this VM's own state for a heartbeat or view.
 func (p *Prober) self() Peer {
 	self := p.cfg.Self
-	p.cfg.Local(&self)
+	p.cfg.UpdateSelf(&self)
 	return self
 }
 
@@ -235,7 +235,7 @@
 	}
 	for _, l := range p.Limits {
 		info.Limits = append(info.Limits, &peerpb.TargetLimit{
-			Target: l.Target, Born: l.Born, Named: l.Named, Rate: l.Rate, AgeUs: time.Since(l.Latest).Microseconds(),
+			Target: l.Target, Born: l.Born, Named: l.Limited, Rate: l.Rate, AgeUs: time.Since(l.Latest).Microseconds(),
 		})
 	}
 	for _, c := range p.Suspects {
@@ -270,7 +270,7 @@
 	for _, l := range i.GetLimits() {
 		age := time.Duration(l.GetAgeUs()) * time.Microsecond
 		p.Limits = append(p.Limits, TargetLimit{
-			Target: l.GetTarget(), Born: l.GetBorn(), Named: l.GetNamed(), Rate: l.GetRate(),
+			Target: l.GetTarget(), Born: l.GetBorn(), Limited: l.GetNamed(), Rate: l.GetRate(),
 			Earliest: sent.Add(-age), Latest: received.Add(-age),
 		})
 	}
--- a/pkg/member/prober_test.go
+++ b/pkg/member/prober_test.go
@@ -45,7 +45,7 @@
 	go func() { loop.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); <-ended })
 	p := NewProber(Config{
-		Self: self, Directory: list, Dialer: peer.NewDialer(nil), Loop: loop,
+		Self: self, Directory: list, PeerDialer: peer.NewDialer(nil), Loop: loop,
 		Clock: clock.System{}, Log: zerolog.Nop(), ProbePeriod: 20 * time.Millisecond,
 	})
 	p.Start(ctx)
@@ -100,7 +100,7 @@
 // TestHeartbeatsCarrySuspects guards against VMs that send a request that crashes targets, because
 // they started after the targets' deaths were reported, or because no report reached them.
 func TestHeartbeatsCarrySuspects(t *testing.T) {
-	f := quarantine.NewFingerprint(quarantine.Base{1}, []byte("body"))
+	f := quarantine.NewFingerprint(quarantine.BaseHash{1}, []byte("body"))
 	sent := Peer{ID: "vm-1", Suspects: []quarantine.Case{{
 		Fingerprint: f, Trials: 1, Deaths: []quarantine.Death{{ID: "a@1", Target: "a", Prior: 1, Age: 2 * time.Second}},
 	}}}
--- a/pkg/quarantine/codec/codec.go
+++ b/pkg/quarantine/codec/codec.go
@@ -21,7 +21,7 @@
 
 // Encode returns the message for a case.
 func Encode(c quarantine.Case) *peerpb.Suspect {
-	out := &peerpb.Suspect{Base: c.Base[:], PrefixBytes: int32(c.PrefixBytes), PrefixHash: c.PrefixHash[:], Trials: int32(c.Trials), Convicted: c.Confirmed}
+	out := &peerpb.Suspect{Base: c.BaseHash[:], PrefixBytes: int32(c.PrefixBytes), PrefixHash: c.PrefixHash[:], Trials: int32(c.Trials), Convicted: c.Confirmed}
 	for _, d := range c.Deaths {
 		out.Deaths = append(out.Deaths, &peerpb.Death{Id: d.ID, Target: d.Target, Prior: int32(d.Prior), AgeUs: d.Age.Microseconds()})
 	}
@@ -33,7 +33,7 @@
 	c := quarantine.Case{Trials: max(int(s.GetTrials()), 0)}
 	c.Confirmed = s.GetConvicted()
 	c.PrefixBytes = int(s.GetPrefixBytes())
-	if copy(c.Base[:], s.GetBase()) != len(c.Base) || copy(c.PrefixHash[:], s.GetPrefixHash()) != len(c.PrefixHash) ||
+	if copy(c.BaseHash[:], s.GetBase()) != len(c.BaseHash) || copy(c.PrefixHash[:], s.GetPrefixHash()) != len(c.PrefixHash) ||
 		c.PrefixBytes < 0 || c.PrefixBytes > maxPrefixBytes {
 		return c, errMalformed
 	}
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -29,20 +29,20 @@
 
 // BaseHash is the hash of what is known of a request before its body is read: account, route,
 // method, URI and body length.
-type Base [sha256.Size]byte
+type BaseHash [sha256.Size]byte
 
 // Fingerprint identifies a request by its BaseHash and the part of its body that had been read when
 // its target died.
 type Fingerprint struct {
-	Base Base
+	BaseHash BaseHash
 	// PrefixBytes is how much of the body had been read, and PrefixHash is the hash of that prefix.
 	PrefixBytes int
 	PrefixHash  [sha256.Size]byte
 }
 
 // NewFingerprint returns the fingerprint of a request whose body has been read up to prefix.
-func NewFingerprint(b Base, prefix []byte) Fingerprint {
-	return Fingerprint{Base: b, PrefixBytes: len(prefix), PrefixHash: sha256.Sum256(prefix)}
+func NewFingerprint(b BaseHash, prefix []byte) Fingerprint {
+	return Fingerprint{BaseHash: b, PrefixBytes: len(prefix), PrefixHash: sha256.Sum256(prefix)}
 }
 
 // shortIDBytes is the length of a shortID.
@@ -53,7 +53,7 @@
 
 func (f *Fingerprint) shortID() (s shortID) {
 	h := sha256.New()
-	h.Write(f.Base[:])
+	h.Write(f.BaseHash[:])
 	h.Write(f.PrefixHash[:])
 	copy(s[:], h.Sum(nil))
 	return s
@@ -145,7 +145,7 @@
 	Duration time.Duration
 	// Retention is how long a suspect is remembered after its last death. A remembered suspect that
 	// was quarantined before is quarantined again at its next death. Default 1 h.
-	Memory time.Duration
+	Retention time.Duration
 	// MaxTrials is the largest number of trials of a request that was quarantined or is on
 	// probation. After the last trial the request is quarantined for as long as it is remembered.
 	// Default 0: there are no trials, and a request is free after Duration.
@@ -154,8 +154,8 @@
 	Backoff int
 	// MaxAnswered is how many answered requests are remembered, for 15 to 30 s, at about 50 B each.
 	// The first death after an answer does not make a request suspect. Default 0.
-	Answered int
-	Clock    clock.Clock
+	MaxAnswered int
+	Clock       clock.Clock
 }
 
 // List holds the suspect requests. It is safe for concurrent use.
@@ -175,8 +175,8 @@
 	if c.Duration == 0 {
 		c.Duration = defaultDuration
 	}
-	if c.Memory == 0 {
-		c.Memory = defaultRetention
+	if c.Retention == 0 {
+		c.Retention = defaultRetention
 	}
 	if c.Backoff == 0 {
 		c.Backoff = 1
@@ -184,11 +184,11 @@
 	if c.Clock == nil {
 		c.Clock = clock.System{}
 	}
-	suspects, err := lru.New[Base, []*suspect](c.Size)
+	suspects, err := lru.New[BaseHash, []*suspect](c.Size)
 	if err != nil {
 		panic(err) // only a size below 1 fails
 	}
-	return &List{config: c, state: &state{suspects: suspects, answered: answeredRequests{capacity: c.Answered}}}
+	return &List{config: c, state: &state{suspects: suspects, answered: answeredRequests{capacity: c.MaxAnswered}}}
 }
 
 // Empty reports whether no request was ever suspect. It takes no lock.
@@ -196,7 +196,7 @@
 
 // Prefix returns how much of a body must be read to assess a request. known is false if there is no
 // suspect with this BaseHash.
-func (l *List) Prefix(b Base) (n int, known bool) {
+func (l *List) Prefix(b BaseHash) (n int, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, v := range l.state.variants(b) {
@@ -208,17 +208,17 @@
 }
 
 // Assess returns what is known of a request whose body begins with prefix.
-func (l *List) Assess(b Base, prefix []byte) Assessment {
+func (l *List) Assess(b BaseHash, prefix []byte) Assessment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state.assess(b, prefix, l.config.Clock.Now(), &l.config)
 }
 
 // Clear clears a suspect that a target has answered. The deaths known so far do not count again.
-func (l *List) Clear(b Base, prefix []byte) {
+func (l *List) Clear(b BaseHash, prefix []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.state.clear(func(v *suspect) bool { return v.fingerprint.Base == b && v.matches(prefix) }, b)
+	l.state.clear(func(v *suspect) bool { return v.fingerprint.BaseHash == b && v.matches(prefix) }, b)
 }
 
 // RecordAnswer records that a target answered a request. It reports whether the request was
@@ -227,7 +227,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state.answered.add(f.shortID(), l.config.Clock.Now())
-	return l.state.clear(func(v *suspect) bool { return v.fingerprint == f }, f.Base)
+	return l.state.clear(func(v *suspect) bool { return v.fingerprint == f }, f.BaseHash)
 }
 
 // RecordDeath records that a target died while it ran the request. It reports whether the death is
@@ -237,7 +237,7 @@
 	defer l.mu.Unlock()
 	now := l.config.Clock.Now()
 	l.used.Store(true)
-	if !l.state.recordDeath(f, d, now, l.config.Memory) {
+	if !l.state.recordDeath(f, d, now, l.config.Retention) {
 		return false
 	}
 	if d.Prior == 0 && l.state.answered.excuse(f.shortID(), now) {
@@ -266,7 +266,7 @@
 	l.used.Store(true)
 	for _, d := range c.Deaths {
 		d.Age = 0
-		l.state.recordDeath(c.Fingerprint, d, now, l.config.Memory)
+		l.state.recordDeath(c.Fingerprint, d, now, l.config.Retention)
 	}
 	if v := l.state.find(c.Fingerprint); v != nil && !v.cleared() {
 		v.confirmed = v.confirmed || c.Confirmed || c.Trials > 0
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -10,7 +10,7 @@
 	"crocusramp.dev/crocusramp/pkg/clock"
 )
 
-func base(i int) Base { return Base{byte(i), byte(i >> 8)} }
+func base(i int) BaseHash { return BaseHash{byte(i), byte(i >> 8)} }
 
 // fleet simulates targets that die while they run requests.
 type fleet struct {
@@ -192,7 +192,7 @@
 // withTrials returns a fleet whose quarantines end with trials.
 func withTrials() *fleet {
 	f := newFleet()
-	f.list = NewList(Config{Clock: f.clock, Duration: 10 * time.Second, MaxTrials: 2, Backoff: 6, Answered: 64})
+	f.list = NewList(Config{Clock: f.clock, Duration: 10 * time.Second, MaxTrials: 2, Backoff: 6, MaxAnswered: 64})
 	return f
 }
 
@@ -295,7 +295,7 @@
 
 // BenchmarkAnswered measures the cost of each answered request.
 func BenchmarkAnswered(b *testing.B) {
-	l := NewList(Config{Answered: 4096})
+	l := NewList(Config{MaxAnswered: 4096})
 	body := make([]byte, 300)
 	b.ReportAllocs()
 	for i := range b.N {
--- a/pkg/quarantine/state.go
+++ b/pkg/quarantine/state.go
@@ -12,7 +12,7 @@
 
 // state implements a List. Its methods take the time as a parameter and do no I/O.
 type state struct {
-	suspects *lru.Cache[Base, []*suspect]
+	suspects *lru.Cache[BaseHash, []*suspect]
 	// events are the most recent deaths of targets, the oldest first.
 	events   []event
 	answered answeredRequests
@@ -75,14 +75,14 @@
 	fingerprint Fingerprint
 }
 
-func (s *state) variants(b Base) []*suspect {
+func (s *state) variants(b BaseHash) []*suspect {
 	v, _ := s.suspects.Get(b)
 	return v
 }
 
 // find returns the suspect with a fingerprint, or nil.
 func (s *state) find(f Fingerprint) *suspect {
-	for _, v := range s.variants(f.Base) {
+	for _, v := range s.variants(f.BaseHash) {
 		if v.fingerprint == f {
 			return v
 		}
@@ -92,7 +92,7 @@
 
 // assess combines what is known of all suspects that match the request, and returns the most severe
 // values.
-func (s *state) assess(b Base, prefix []byte, now clock.Time, c *Config) Assessment {
+func (s *state) assess(b BaseHash, prefix []byte, now clock.Time, c *Config) Assessment {
 	var worst Assessment
 	for _, v := range s.variants(b) {
 		if !v.matches(prefix) {
@@ -114,7 +114,7 @@
 }
 
 // clear clears the suspects with this BaseHash that match. It reports whether there were any.
-func (s *state) clear(matches func(*suspect) bool, b Base) (found bool) {
+func (s *state) clear(matches func(*suspect) bool, b BaseHash) (found bool) {
 	for _, v := range s.variants(b) {
 		if v.cleared() || !matches(v) {
 			continue
@@ -137,7 +137,7 @@
 			last = max(last, d.at)
 		}
 	}
-	if a.Deaths == 0 || now.Sub(last) > c.Memory {
+	if a.Deaths == 0 || now.Sub(last) > c.Retention {
 		return Assessment{}
 	}
 	a.Confirmed = s.confirms(v, last)
@@ -150,7 +150,7 @@
 		}
 	}
 	if c.MaxTrials > 0 && v.trials >= c.MaxTrials {
-		duration = c.Memory
+		duration = c.Retention
 	}
 	left := last.Add(duration).Sub(now)
 	switch {
@@ -239,7 +239,7 @@
 // recordDeath records a death and its event. It returns false if the death is known already or
 // older than the retention.
 func (s *state) recordDeath(f Fingerprint, d Death, now clock.Time, retention time.Duration) bool {
-	variants := slices.Clone(s.variants(f.Base))
+	variants := slices.Clone(s.variants(f.BaseHash))
 	i := slices.IndexFunc(variants, func(v *suspect) bool { return v.fingerprint == f })
 	if i < 0 {
 		variants = append(variants, &suspect{fingerprint: f})
@@ -263,7 +263,7 @@
 	if len(v.deaths) > maxDeaths {
 		v.deaths = v.deaths[1:]
 	}
-	s.suspects.Add(f.Base, variants)
+	s.suspects.Add(f.BaseHash, variants)
 	s.events = append(s.events, event{target: d.Target, at: at, again: d.Prior > 0, fingerprint: f})
 	if len(s.events) > maxEvents {
 		s.events = s.events[1:]
