--- a/pkg/block/block.go
+++ b/pkg/block/block.go
@@ -33,7 +33,7 @@
 // Block assigns the addresses of a prefix to a region.
 type Block struct {
 	Prefix netip.Prefix
-	Site   string
+	Region string
 }
 
 // Table finds the region of an address by its longest matching prefix. It does not
@@ -64,19 +64,19 @@
 	var v4 []span[uint32]
 	var v6 []span[uint64]
 	for _, b := range blocks {
-		region, ok := index[b.Site]
+		region, ok := index[b.Region]
 		if !ok {
 			if len(t.regions) == maxRegions {
 				return nil, fmt.Errorf("%w: more than %d sites", ErrInvalid, maxRegions)
 			}
 			region = uint16(len(t.regions))
-			index[b.Site] = region
-			t.regions = append(t.regions, b.Site)
+			index[b.Region] = region
+			t.regions = append(t.regions, b.Region)
 		}
 		prefix := b.Prefix.Masked()
 		switch {
 		case !prefix.IsValid():
-			return nil, fmt.Errorf("%w: region %q has no prefix", ErrInvalid, b.Site)
+			return nil, fmt.Errorf("%w: region %q has no prefix", ErrInvalid, b.Region)
 		case prefix.Addr().Is4():
 			start := v4Key(prefix.Addr())
 			v4 = append(v4, span[uint32]{start, start | uint32(1<<(32-prefix.Bits())-1), region})
--- a/pkg/block/block_test.go
+++ b/pkg/block/block_test.go
@@ -73,7 +73,7 @@
 		want, bits := "", -1
 		for _, b := range blocks {
 			if b.Prefix.Contains(a) && b.Prefix.Bits() > bits {
-				want, bits = b.Site, b.Prefix.Bits()
+				want, bits = b.Region, b.Prefix.Bits()
 			}
 		}
 		if got, ok := table.Lookup(a); got != want || ok != (bits >= 0) {
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -156,7 +156,7 @@
 	d.leases = lease.NewManager(lease.Config{
 		Table: d.table, Loop: d.loop, Clock: clock.System{}, Members: d.members, Self: d.self,
 		Slots: s.Slots, Regions: s.Regions,
-		Duration: s.Lease.Duration.Duration, Margin: s.Lease.Margin.Duration, Poll: s.Lease.Poll.Duration,
+		Duration: s.Lease.Duration.Duration, Margin: s.Lease.Margin.Duration, PollInterval: s.Lease.Poll.Duration,
 		Retire: func(slot int) bool { return d.scheduler.Retire(slot) },
 		Log:    d.log, Metrics: d.registry,
 	})
@@ -181,7 +181,7 @@
 		costs[region] = cost.Duration
 	}
 	d.scheduler = dispatch.NewScheduler(dispatch.Config{
-		Pools: s.TargetPools(), Self: d.self, Members: d.members, Slots: d.leases, Config: d.feed,
+		Pools: s.TargetPools(), Self: d.self, Members: d.members, LeaseSlots: d.leases, Config: d.feed,
 		Clock: clock.System{}, Log: d.log, Metrics: d.registry, Regions: s.Regions, RegionCost: costs,
 	})
 	requireEcho := map[string]bool{}
@@ -194,7 +194,7 @@
 	}
 	d.entry = entry.NewServer(entry.Config{
 		Config: d.feed, Authenticate: keys.Authenticate, Limiter: d.countedLimiter, Dispatcher: d.scheduler,
-		Members: d.members, Match: route.Match, Homes: d.limiter.Homes, RegionOf: blocks.Lookup, Peers: d.dialer, Table: d.table,
+		Members: d.members, Match: route.Match, Homes: d.limiter.Homes, RegionOf: blocks.Lookup, PeerDialer: d.dialer, Table: d.table,
 		Clock: clock.System{}, Log: d.log, Metrics: d.registry, Tracer: d.tracer,
 		Latency: func(l time.Duration) { d.latency.Record(l.Microseconds()) },
 		Limits: entry.Limits{
--- a/pkg/dispatch/capacity.go
+++ b/pkg/dispatch/capacity.go
@@ -111,7 +111,7 @@
 		if !s.Valid(now) || s.Region != region || s.Index >= len(slotRegions) || slotRegions[s.Index] != region {
 			continue
 		}
-		if !s.New && !s.Idle && now.Sub(s.Since) < holdDown {
+		if !s.Settled && !s.Idle && now.Sub(s.Since) < holdDown {
 			continue
 		}
 		if at, ok := retired[s.Index]; ok && s.Since <= at {
--- a/pkg/dispatch/config.go
+++ b/pkg/dispatch/config.go
@@ -21,11 +21,11 @@
 	Pools   []target.Pool
 	Self    member.Peer
 	Members member.Source
-	// Slots publishes the lease slots that this VM holds.
-	Slots  lease.Holder
-	Config config.Source
-	Clock  clock.Clock
-	Log    zerolog.Logger
+	// LeaseSlots publishes the lease slots that this VM holds.
+	LeaseSlots lease.Holder
+	Config     config.Source
+	Clock      clock.Clock
+	Log        zerolog.Logger
 	// Metrics may be nil.
 	Metrics metrics.Registry
 
--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -26,8 +26,8 @@
 	// HandedOver is set if a peer handed the request over to this VM. Such a request
 	// is never handed over again.
 	HandedOver bool
-	// Tried holds the IDs of the targets that failed or refused an earlier attempt.
-	Tried []string
+	// TriedTargets holds the IDs of the targets that failed or refused an earlier attempt.
+	TriedTargets []string
 }
 
 // Result tells how a granted request ended.
--- a/pkg/dispatch/fixture_test.go
+++ b/pkg/dispatch/fixture_test.go
@@ -61,8 +61,8 @@
 		Mode: config.ModeIdempotent, Priority: config.PriorityNormal, Timeout: 10 * time.Second}
 	return &fakeFleet{
 		holding: &lease.Holding{Total: 4, Slots: []lease.Slot{
-			{Index: 0, Region: "east", Until: forever, New: true},
-			{Index: 2, Region: "east", Until: forever, New: true},
+			{Index: 0, Region: "east", Until: forever, Settled: true},
+			{Index: 2, Region: "east", Until: forever, Settled: true},
 		}},
 		view:   &member.View{Self: peerVM(0, "east", 0), Complete: true},
 		config: cfg,
@@ -90,7 +90,7 @@
 	return Config{
 		Pools:   []target.Pool{{Name: "registru", Targets: append(targets("east", 2, 2), targets("west", 2, 2)...)}},
 		Self:    f.view.Self,
-		Members: f, Slots: f, Config: f, Clock: bubbleClock{},
+		Members: f, LeaseSlots: f, Config: f, Clock: bubbleClock{},
 		Regions:    []string{"east", "west"},
 		RegionCost: map[string]time.Duration{"west": 12 * time.Millisecond},
 		Seed:       1,
--- a/pkg/dispatch/permits_test.go
+++ b/pkg/dispatch/permits_test.go
@@ -50,7 +50,7 @@
 		}
 		for i := range slots {
 			owner[i] = rapid.IntRange(0, vms-1).Draw(t, "owner")
-			held[i] = lease.Slot{Index: i, Region: "east", Until: forever, New: true}
+			held[i] = lease.Slot{Index: i, Region: "east", Until: forever, Settled: true}
 		}
 		// expired holds expired slots that a VM still lists because it was paused.
 		expired := map[[2]int]lease.Slot{}
@@ -96,7 +96,7 @@
 				old.Until = now
 				expired[[2]int{owner[i], i}] = old
 				owner[i] = rapid.IntRange(0, vms-1).Draw(t, "owner")
-				held[i].Since, held[i].New = now, false
+				held[i].Since, held[i].Settled = now, false
 			},
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "seconds")) * time.Second)
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -177,7 +177,7 @@
 		p.seenUrgent, p.lastUrgent = true, in.now
 	}
 	if p.queue.Len() == 0 && (r.class != queue.Low || p.hasRoomForLow(in.now)) {
-		if t := p.pick(in.now, r.Tried); t != nil {
+		if t := p.pick(in.now, r.TriedTargets); t != nil {
 			return p.grantTarget(in.now, t, r), nil, nil
 		}
 	}
@@ -193,11 +193,11 @@
 // reports whether the request is a retry.
 func (p *pool) restoreRefusals(r *request) bool {
 	if p.retried.Len() == 0 || r.ID == "" {
-		return len(r.Tried) > 0
+		return len(r.TriedTargets) > 0
 	}
 	refusedBy, ok := p.retried.Get(r.ID)
 	r.refusedBy = refusedBy
-	return ok || len(r.Tried) > 0
+	return ok || len(r.TriedTargets) > 0
 }
 
 // tryShift counts the request in all shifts out of this region and hands it over if one of
--- a/pkg/dispatch/scheduler.go
+++ b/pkg/dispatch/scheduler.go
@@ -151,7 +151,7 @@
 	return inputs{
 		config:  s.config.Config.Snapshot().Config,
 		members: s.config.Members.View(),
-		holding: s.config.Slots.Holding(),
+		holding: s.config.LeaseSlots.Holding(),
 		now:     s.config.Clock.Now(),
 	}
 }
--- a/pkg/dispatch/scheduler_test.go
+++ b/pkg/dispatch/scheduler_test.go
@@ -184,7 +184,7 @@
 		}
 		time.Sleep(time.Second)
 		for i := range f.holding.Slots {
-			f.holding.Slots[i].Since, f.holding.Slots[i].New, f.holding.Slots[i].Idle = bubbleClock{}.Now(), false, true
+			f.holding.Slots[i].Since, f.holding.Slots[i].Settled, f.holding.Slots[i].Idle = bubbleClock{}.Now(), false, true
 		}
 		if n := s.FreePermits(); n == 0 {
 			t.Error("idle slots that were taken again are not usable immediately")
@@ -198,7 +198,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
 		for i := range f.holding.Slots {
-			f.holding.Slots[i].New = false
+			f.holding.Slots[i].Settled = false
 			f.holding.Slots[i].Since = bubbleClock{}.Now()
 		}
 		s := NewScheduler(f.schedulerConfig())
--- a/pkg/dispatch/sim_test.go
+++ b/pkg/dispatch/sim_test.go
@@ -193,7 +193,7 @@
 		}
 		vm := local[taken[region]%len(local)]
 		taken[region]++
-		vm.holding.Slots = append(vm.holding.Slots, lease.Slot{Index: slot, Region: region, Until: forever, New: true})
+		vm.holding.Slots = append(vm.holding.Slots, lease.Slot{Index: slot, Region: region, Until: forever, Settled: true})
 		for _, t := range p.Targets {
 			vm.permits += permit.Assign(t, slotRegions)[slot]
 		}
@@ -352,7 +352,7 @@
 	c.attempts++
 	switch s.policy {
 	case policyRandom, policyLeast:
-		c.send(s.pickBaseline(vm, c.request.Tried), func(res Result) { c.end(vm, res) })
+		c.send(s.pickBaseline(vm, c.request.TriedTargets), func(res Result) { c.end(vm, res) })
 		return
 	}
 	// A request may be granted more than once; each grant needs its own copy.
@@ -431,7 +431,7 @@
 	granted := s.now
 	s.after(s.size.sameRegionDelay, func() {
 		if t.dead {
-			c.request.Tried = append(slices.Clone(c.request.Tried), t.ID)
+			c.request.TriedTargets = append(slices.Clone(c.request.TriedTargets), t.ID)
 			s.after(s.size.sameRegionDelay, func() { done(Result{Outcome: outcome.NotRun}) })
 			return
 		}
--- a/pkg/dispatch/waiting.go
+++ b/pkg/dispatch/waiting.go
@@ -60,7 +60,7 @@
 			p.handOverQueued(in)
 			return
 		}
-		t := p.pick(in.now, p.queue.Peek().Value.request.Tried)
+		t := p.pick(in.now, p.queue.Peek().Value.request.TriedTargets)
 		if t == nil {
 			// If all targets with a free permit have been tried, use one of them again.
 			t = p.pick(in.now, nil)
--- a/pkg/edge/fleet.go
+++ b/pkg/edge/fleet.go
@@ -140,10 +140,10 @@
 	lends := settled || r.loanWaitEnded.Load()
 	var slots []lease.Slot
 	if index >= 0 && (keeps || lends) {
-		slots = append(slots, lease.Slot{Index: slotsPerVM * index, Since: r.started, Until: farFuture, New: keeps || settled, Kept: keeps})
+		slots = append(slots, lease.Slot{Index: slotsPerVM * index, Since: r.started, Until: farFuture, Settled: keeps || settled, Kept: keeps})
 	}
 	if index >= 0 && lends {
-		slots = append(slots, lease.Slot{Index: slotsPerVM*index + 1, Since: r.started, Until: farFuture, New: settled})
+		slots = append(slots, lease.Slot{Index: slotsPerVM*index + 1, Since: r.started, Until: farFuture, Settled: settled})
 	}
 	total := slotsPerVM * shares
 	if old.Total == total && len(slots) == len(old.Slots) {
@@ -161,9 +161,9 @@
 	if len(h.Slots) < slotsPerVM { // an earlier process may have lent them
 		return out
 	}
-	settled := h.Slots[slotsPerVM-1].New
+	settled := h.Slots[slotsPerVM-1].Settled
 	for _, s := range h.Slots {
-		s.Kept, s.New = false, settled
+		s.Kept, s.Settled = false, settled
 		out.Slots = append(out.Slots, s)
 	}
 	return out
--- a/pkg/edge/fleet_test.go
+++ b/pkg/edge/fleet_test.go
@@ -67,11 +67,11 @@
 func TestRestartedVMUsesOnlyKeptSlotUntilLoansEnd(t *testing.T) {
 	r := newTestRegistry("vm-00", false)
 	r.setRows(registrations(3), 0)
-	if got := r.Holding(); len(got.Slots) != 1 || !got.Slots[0].Kept || !got.Slots[0].New {
+	if got := r.Holding(); len(got.Slots) != 1 || !got.Slots[0].Kept || !got.Slots[0].Settled {
 		t.Errorf("VM holds %+v while others may use what it lent, want one kept slot", got.Slots)
 	}
 	r.endLoanWait(true, second)
-	if got := r.Holding(); len(got.Slots) != slotsPerVM || !got.Slots[1].New || got.Slots[1].Kept {
+	if got := r.Holding(); len(got.Slots) != slotsPerVM || !got.Slots[1].Settled || got.Slots[1].Kept {
 		t.Errorf("after the loans have ended the VM holds %+v, want a kept and a lendable slot", got.Slots)
 	}
 }
@@ -95,7 +95,7 @@
 			if s.Kept {
 				kept++
 			}
-			if !s.New {
+			if !s.Settled {
 				t.Errorf("%d VMs: slot %d is not usable at once although the loans have ended", tt.vms, s.Index)
 			}
 		}
--- a/pkg/edge/limits_test.go
+++ b/pkg/edge/limits_test.go
@@ -22,7 +22,7 @@
 		t.Fatalf("VM holds %+v, want the share of one of three VMs", got)
 	}
 	for _, s := range got.Slots {
-		if s.Kept || !s.New {
+		if s.Kept || !s.Settled {
 			t.Errorf("slot %+v is kept or is not usable at once", s)
 		}
 	}
@@ -30,7 +30,7 @@
 	r.setRows(registrations(3), 0)
 	r.endLoanWait(false, second)
 	for _, s := range (lendableHolder{r}).Holding().Slots {
-		if s.New {
+		if s.Settled {
 			t.Errorf("slot %+v is usable at once although others may use it", s)
 		}
 	}
--- a/pkg/entry/fakes_test.go
+++ b/pkg/entry/fakes_test.go
@@ -120,7 +120,7 @@
 		return g, nil
 	}
 	for _, t := range f.targets {
-		if !slices.Contains(r.Tried, t.ID) {
+		if !slices.Contains(r.TriedTargets, t.ID) {
 			g.Target = t
 			return g, nil
 		}
@@ -200,7 +200,7 @@
 		Dispatcher:   v.dispatcher,
 		Members:      v.members,
 		Match:        fakeMatch,
-		Peers:        peer.NewDialer(nil),
+		PeerDialer:   peer.NewDialer(nil),
 		Log:          zerolog.New(v.log),
 	}
 	if configure != nil {
--- a/pkg/entry/serve.go
+++ b/pkg/entry/serve.go
@@ -139,12 +139,12 @@
 
 func (s *Server) dispatchRequest(c *call) *dispatch.Request {
 	r := &dispatch.Request{
-		ID:         c.id,
-		Account:    c.accountName(),
-		Route:      c.route,
-		Deadline:   c.deadline,
-		HandedOver: c.handedOver,
-		Tried:      c.triedTargets,
+		ID:           c.id,
+		Account:      c.accountName(),
+		Route:        c.route,
+		Deadline:     c.deadline,
+		HandedOver:   c.handedOver,
+		TriedTargets: c.triedTargets,
 	}
 	if c.account != nil {
 		r.Weight = c.account.Weight
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -69,8 +69,8 @@
 	Homes func(account string) []string
 	// RegionOf returns the region nearest to a caller's address. Nil means that
 	// callers are nearest to the region of the VM that they ask.
-	RegionOf func(netip.Addr) (region string, ok bool)
-	Peers    *peer.Dialer
+	RegionOf   func(netip.Addr) (region string, ok bool)
+	PeerDialer *peer.Dialer
 	// Table stores the claims of at-most-once requests.
 	Table   storage.Table
 	Clock   clock.Clock
@@ -122,7 +122,7 @@
 	s := &Server{
 		config:      c,
 		client:      forward.NewClient(c.Forward),
-		peerClient:  newPeerClient(c.Peers),
+		peerClient:  newPeerClient(c.PeerDialer),
 		inFlight:    newInFlight(),
 		meters:      newMeters(c.Metrics, c.Latency),
 		retryBudget: retry.NewBudget(c.Retry),
@@ -130,7 +130,7 @@
 	s.abortCtx, s.abort = context.WithCancel(context.Background())
 	c.Quarantine.Clock = c.Clock
 	s.quarantine = quarantine.NewList(c.Quarantine)
-	s.deathReports = deathreport.New(deathreport.Config{List: s.quarantine, Members: c.Members, PeerDialer: c.Peers, Log: c.Log, PathPrefix: rpcPrefix})
+	s.deathReports = deathreport.New(deathreport.Config{List: s.quarantine, Members: c.Members, PeerDialer: c.PeerDialer, Log: c.Log, PathPrefix: rpcPrefix})
 	self := c.Members.View().Self
 	s.session = claim.NewTicketStore(claim.TicketStoreConfig{VM: self.ID, Incarnation: self.Incarnation, Clock: c.Clock})
 	if c.Table != nil {
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -17,9 +17,9 @@
 	// Until is when the VM must stop using the slot unless it renews the lease. The
 	// margin for clock drift is already subtracted.
 	Until clock.Time
-	// New reports that no former holder's grants or loans from the slot can still be in
+	// Settled reports that no former holder's grants or loans from the slot can still be in
 	// use, for example because the slot had no holder before this VM.
-	New bool
+	Settled bool
 	// Idle reports that no request ran under the slot when the last holder released it.
 	Idle bool
 	// Kept reports that no part of the slot is ever lent. Hence no other VM can use a part
--- a/pkg/lease/manager.go
+++ b/pkg/lease/manager.go
@@ -63,8 +63,8 @@
 	// Margin is the largest drift between two clocks during Duration; default
 	// Duration/50.
 	Margin time.Duration
-	// Poll is how often the rows are read; default 1 s.
-	Poll time.Duration
+	// PollInterval is how often the rows are read; default 1 s.
+	PollInterval time.Duration
 	// Retire stops the granting of permits of a slot that is being released and reports
 	// whether none of them is in use. If it reports false or is nil, the next holder
 	// waits until the requests of this VM have ended.
@@ -83,8 +83,8 @@
 	if c.Margin == 0 {
 		c.Margin = c.Duration / marginDivisor
 	}
-	if c.Poll == 0 {
-		c.Poll = defaultPollInterval
+	if c.PollInterval == 0 {
+		c.PollInterval = defaultPollInterval
 	}
 	if c.Metrics == nil {
 		c.Metrics = metrics.NewRegistry()
@@ -127,7 +127,7 @@
 		cfg: cfg,
 		state: newState(params{
 			self: cfg.Self, slots: cfg.Slots, regions: cfg.Regions,
-			duration: cfg.Duration, margin: cfg.Margin, takeoverDelay: takeoverDelayPolls * cfg.Poll, retire: cfg.Retire,
+			duration: cfg.Duration, margin: cfg.Margin, takeoverDelay: takeoverDelayPolls * cfg.PollInterval, retire: cfg.Retire,
 		}),
 		conflicts: metrics.GetOrRegisterCounter("lease.conflicts", cfg.Metrics),
 		failures:  metrics.GetOrRegisterCounter("lease.failures", cfg.Metrics),
@@ -141,7 +141,7 @@
 
 // Start starts to poll the table, until ctx ends. It returns immediately.
 func (m *Manager) Start(ctx context.Context) {
-	m.cfg.Loop.Every(ctx, m.cfg.Poll, func() { m.poll(ctx) })
+	m.cfg.Loop.Every(ctx, m.cfg.PollInterval, func() { m.poll(ctx) })
 }
 
 // Holding returns the slots that this VM holds.
@@ -318,7 +318,7 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%w: %w", ErrNotReleased, ctx.Err())
-		case <-time.After(min(m.cfg.Poll, maxReleasePause)):
+		case <-time.After(min(m.cfg.PollInterval, maxReleasePause)):
 		}
 	}
 }
--- a/pkg/lease/manager_test.go
+++ b/pkg/lease/manager_test.go
@@ -67,7 +67,7 @@
 	src.view.Store(f.view(i))
 	m := NewManager(Config{
 		Table: f.table, Loop: loop, Clock: clock.System{}, Members: src, Self: f.peers[i],
-		Slots: managerSlots, Regions: []string{"a"}, Poll: managerPoll, Log: zerolog.Nop(),
+		Slots: managerSlots, Regions: []string{"a"}, PollInterval: managerPoll, Log: zerolog.Nop(),
 	})
 	if i < len(f.list) {
 		f.list[i], f.views[i], f.stop[i] = m, src, cancel
--- a/pkg/lease/state.go
+++ b/pkg/lease/state.go
@@ -327,7 +327,7 @@
 	for index := range s.slots {
 		if h, ok := s.held[index]; ok {
 			slots = append(slots, Slot{
-				Index: index, Region: s.region(index), Since: h.since, Until: h.until, New: h.created, Idle: h.idle,
+				Index: index, Region: s.region(index), Since: h.since, Until: h.until, Settled: h.created, Idle: h.idle,
 			})
 		}
 	}
--- a/pkg/lease/state_test.go
+++ b/pkg/lease/state_test.go
@@ -185,7 +185,7 @@
 	}
 	c.run(1)
 	for i, v := range c.vms {
-		if got := v.holding(); len(got) != 4 || !got[0].New {
+		if got := v.holding(); len(got) != 4 || !got[0].Settled {
 			t.Errorf("VM %d starts with %v, want 4 slots without a former holder", i, got)
 		}
 	}
@@ -193,7 +193,7 @@
 	c.run(10)
 	for _, v := range c.vms {
 		for _, s := range v.holding() {
-			if !s.New {
+			if !s.Settled {
 				t.Errorf("slot %d was handed over", s.Index)
 			}
 		}
@@ -240,8 +240,8 @@
 		t.Fatalf("next holder has %+v, want 4 slots", next.holding())
 	}
 	for _, s := range next.holding() {
-		if s.New || s.Idle != (s.Index%2 == 0) {
-			t.Errorf("slot %d: settled %v, idle %v; want not settled, and idle if its index is even", s.Index, s.New, s.Idle)
+		if s.Settled || s.Idle != (s.Index%2 == 0) {
+			t.Errorf("slot %d: settled %v, idle %v; want not settled, and idle if its index is even", s.Index, s.Settled, s.Idle)
 		}
 	}
 	third := c.add("vm-third", "a", 4, []string{"a"})
@@ -296,7 +296,7 @@
 		t.Fatalf("%d slots held after the death, want 4", got)
 	}
 	for _, s := range c.vms[0].holding() {
-		if s.New && s.Index%2 == 0 {
+		if s.Settled && s.Index%2 == 0 {
 			t.Errorf("slot %d is marked settled although it had a holder", s.Index)
 		}
 	}
--- a/pkg/limit/book.go
+++ b/pkg/limit/book.go
@@ -140,7 +140,7 @@
 	slotShares := make([]slotShare, len(h.Slots))
 	for i, s := range h.Slots {
 		slotShares[i] = slotShare{share: each, from: s.Since, until: s.Until, kept: s.Kept}
-		if !s.New {
+		if !s.Settled {
 			slotShares[i].from = s.Since.Add(loanDrainTime)
 		}
 	}
--- a/pkg/limit/ledger_test.go
+++ b/pkg/limit/ledger_test.go
@@ -82,7 +82,7 @@
 func TestTakenOverSlotWaitsForLoans(t *testing.T) {
 	b := &budget{name: "a"}
 	h := hold(1, 0, 1)
-	h.Slots[0].New = false
+	h.Slots[0].Settled = false
 	b.setShares(&accountOf10, h, 0)
 	if b.take(at(loanDrainTime)) {
 		t.Error("tokens existed before the previous holder's loans had ended")
@@ -191,7 +191,7 @@
 	b := newBudget("a", func() uint64 { return 0 })
 	two := hold(10, 0, 5)
 	for i := range two.Slots {
-		two.Slots[i].New = true
+		two.Slots[i].Settled = true
 	}
 	b.setShares(&config.Account{Rate: 10, Burst: 100}, two, 0)
 	b.setShares(&config.Account{Rate: 10, Burst: 100}, two, at(time.Minute))
@@ -288,7 +288,7 @@
 	const now = clock.Time(time.Hour)
 	home := newBudget("a", func() uint64 { return 1 })
 	home.home = true
-	h := &lease.Holding{Total: 4, Slots: []lease.Slot{{Index: 0, Until: never, New: true}}}
+	h := &lease.Holding{Total: 4, Slots: []lease.Slot{{Index: 0, Until: never, Settled: true}}}
 	home.setShares(&config.Account{Name: "a", Rate: 40, Burst: 40}, h, now)
 	for id := range uint64(3) {
 		home.borrow(grant{id: id, kind: collectLoan, share: share{10, 10}, tokens: 10, duration: collectDuration}, "vm", now, now)
--- a/pkg/limit/service_test.go
+++ b/pkg/limit/service_test.go
@@ -50,7 +50,7 @@
 func hold(total, first, n int) *lease.Holding {
 	h := &lease.Holding{Total: total}
 	for i := first; i < total; i += n {
-		h.Slots = append(h.Slots, lease.Slot{Index: i, Until: never, New: true})
+		h.Slots = append(h.Slots, lease.Slot{Index: i, Until: never, Settled: true})
 	}
 	return h
 }
--- a/pkg/limit/settle_test.go
+++ b/pkg/limit/settle_test.go
@@ -161,7 +161,7 @@
 		t.Error("the start tokens were given twice")
 	}
 	two := held(1)
-	two.Slots = append(two.Slots, lease.Slot{Index: 1, Until: never, New: true})
+	two.Slots = append(two.Slots, lease.Slot{Index: 1, Until: never, Settled: true})
 	b.setShares(limit, two, 0)
 	b.addStartTokens(4)
 	if !b.take(0) {
--- a/pkg/limit/world_test.go
+++ b/pkg/limit/world_test.go
@@ -169,7 +169,7 @@
 	// that VM still counts the slot's rate until its next step.
 	kept := k%2 == 0
 	fresh := !s.used || (kept && s.orphaned) || w.mutation == noDrainWait
-	v.slots[k] = lease.Slot{Index: k, Since: now, Until: never, New: fresh, Kept: kept && w.mutation != lendsKept}
+	v.slots[k] = lease.Slot{Index: k, Since: now, Until: never, Settled: fresh, Kept: kept && w.mutation != lendsKept}
 	if s.used && w.mutation == fullOnTakeover {
 		v.slots[k] = lease.Slot{Index: k, Since: now.Add(-loanDrainTime), Until: never}
 		w.sync(v)
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -193,7 +193,7 @@
 		if err != nil {
 			return nil, err
 		}
-		blocks = append(blocks, block.Block{Prefix: prefix, Site: b.Region})
+		blocks = append(blocks, block.Block{Prefix: prefix, Region: b.Region})
 	}
 	return block.New(blocks)
 }
