--- a/pkg/edge/limits.go
+++ b/pkg/edge/limits.go
@@ -141,7 +141,7 @@
 			continue
 		}
 		at := now.Add(-age)
-		list = append(list, observed{member.TargetLimit{Target: l.ID, Born: l.Born, Limited: announced.Limited, Rate: announced.Rate, Earliest: at, Latest: at}, unchangedFor})
+		list = append(list, observed{member.TargetLimit{Target: l.ID, StartedAt: l.StartedAt, Limited: announced.Limited, Rate: announced.Rate, Earliest: at, Latest: at}, unchangedFor})
 	}
 	slices.SortFunc(list, func(a, b observed) int {
 		return cmp.Or(cmp.Compare(a.unchangedFor, b.unchangedFor), cmp.Compare(a.Target, b.Target))
@@ -160,7 +160,7 @@
 	for i := range view.Peers {
 		p := &view.Peers[i]
 		for _, r := range p.Limits {
-			l := d.targets.Find(r.Target, r.Born)
+			l := d.targets.Find(r.Target, r.StartedAt)
 			report := target.PeerLimit{Limit: target.Limit{Rate: r.Rate, Limited: r.Limited}, Earliest: r.Earliest, Latest: r.Latest}
 			if l != nil && l.RecordPeerLimit(report) {
 				d.log.Info().Str("target", l.ID).Bool("limited", r.Limited).Float64("rate", r.Rate).Str("reported_by", p.ID).
--- a/pkg/edge/limits_test.go
+++ b/pkg/edge/limits_test.go
@@ -55,7 +55,7 @@
 // accounts that are recreated although nothing changed, which would reset their token buckets.
 func TestAccountsFollowTargetLimits(t *testing.T) {
 	now := time.Now()
-	l := &target.Live{Target: target.Target{ID: "i-1", Region: "east"}, Born: 7}
+	l := &target.Live{Target: target.Target{ID: "i-1", Region: "east"}, StartedAt: 7}
 	other := &target.Live{Target: target.Target{ID: "i-2", Region: "west"}}
 	limits := newTargetLimits()
 	l.RecordLimit(5, now)
--- a/pkg/ingress/call.go
+++ b/pkg/ingress/call.go
@@ -327,7 +327,7 @@
 		h.Set("Connection", "close")
 	}
 	if a.local {
-		c.s.cfg.Wire.Refusal(h, c.info.ID)
+		c.s.cfg.Wire.SetRequestID(h, c.info.ID)
 		if a.retryAfter > 0 {
 			c.s.cfg.Wire.SetRetryAfter(h, a.retryAfter)
 			// Callers retry on another connection and would leave this one idle; in an overload,
--- a/pkg/ingress/fakes_test.go
+++ b/pkg/ingress/fakes_test.go
@@ -53,12 +53,12 @@
 	}
 }
 
-func (fakeWire) FromTarget(status int, h http.Header) AnswerInfo {
+func (fakeWire) FromTarget(status int, h http.Header) ResponseInfo {
 	load, err := strconv.Atoi(h.Get(hLoad))
 	cold, _ := time.ParseDuration(h.Get(hCold))
 	rate, limitErr := strconv.ParseFloat(h.Get(hLimit), 64)
 	backoff, _ := time.ParseDuration(h.Get(hBackoff))
-	return AnswerInfo{
+	return ResponseInfo{
 		Leaving: h.Get(hLeaving) != "", RetryAfter: backoff,
 		Limit: target.Limit{Rate: rate, Limited: limitErr == nil}, Sealed: h.Get(hSeal) != "", NotRun: h.Get(hNotRun) != "" || status == http.StatusMisdirectedRequest,
 		OtherInstance: status == http.StatusMisdirectedRequest, Load: load, LoadKnown: err == nil, ColdFor: cold,
@@ -69,7 +69,7 @@
 
 func (fakeWire) SetRetryAfter(h http.Header, d time.Duration) { h.Set(hRetryAfter, d.String()) }
 
-func (fakeWire) Refusal(h http.Header, id string) { h.Set(hID, id) }
+func (fakeWire) SetRequestID(h http.Header, id string) { h.Set(hID, id) }
 
 // fakeFleet lets this VM use all of each bound.
 type fakeFleet struct {
@@ -269,7 +269,7 @@
 func (w *fixture) register(id, domain, address string) *fakeTarget {
 	f := &fakeTarget{id: id, address: address}
 	w.fakes[id] = f
-	w.targets.Upsert(target.Entry{Target: target.Target{ID: id, Address: address, FailureDomain: domain, Slots: 9}, Pool: testPool, Born: 1}, true, time.Now())
+	w.targets.Upsert(target.Entry{Target: target.Target{ID: id, Address: address, FailureDomain: domain, Slots: 9}, Pool: testPool, StartedAt: 1}, true, time.Now())
 	w.targets.Publish(1)
 	return f
 }
--- a/pkg/ingress/run.go
+++ b/pkg/ingress/run.go
@@ -278,12 +278,12 @@
 
 // recordLimit records the limit that a response sets. Only an authentic response to a request that
 // ran shows that the target has no limit.
-func (c *call) recordLimit(l *target.Live, status int, info AnswerInfo, now time.Time) {
+func (c *call) recordLimit(l *target.Live, status int, info ResponseInfo, now time.Time) {
 	changed := false
 	switch {
 	case !info.authentic(l, status):
 	case info.LimitInvalid:
-		if l.RecordUnreadableLimit() {
+		if l.RecordInvalidLimit() {
 			c.s.cfg.Log.Warn().Str("request", c.info.ID).Str("target", l.ID).Msg("target set an invalid limit; its previous limit stays in force")
 		}
 	case info.Limit.Limited:
@@ -299,13 +299,13 @@
 }
 
 // authentic reports whether the response certainly comes from the target itself.
-func (info *AnswerInfo) authentic(l *target.Live, status int) bool {
+func (info *ResponseInfo) authentic(l *target.Live, status int) bool {
 	return !info.OtherInstance && (info.InstanceID == "" || info.InstanceID == l.ID) && (info.Sealed || !success(status))
 }
 
 // recordAvailability records whether a response says that its target is leaving or asks for a
 // backoff.
-func (c *call) recordAvailability(l *target.Live, info AnswerInfo, now time.Time) {
+func (c *call) recordAvailability(l *target.Live, info ResponseInfo, now time.Time) {
 	if info.Leaving && l.SetLeaving() {
 		c.s.counters.leaving.Inc(1)
 		c.s.cfg.Log.Info().Str("request", c.info.ID).Str("target", l.ID).Int("running", l.Running()).Msg("target announced that it is leaving")
@@ -323,7 +323,7 @@
 func success(status int) bool { return status >= 200 && status < 300 }
 
 // handleNotRun handles a response which says that the target did not run the request.
-func (c *call) handleNotRun(l *target.Live, resp *forward.Response, info AnswerInfo) *attempt {
+func (c *call) handleNotRun(l *target.Live, resp *forward.Response, info ResponseInfo) *attempt {
 	defer l.EndRequest()
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxBufferedBody))
 	resp.Close()
--- a/pkg/ingress/wire.go
+++ b/pkg/ingress/wire.go
@@ -29,8 +29,8 @@
 	Timeout time.Duration
 }
 
-// AnswerInfo is what a response says about its target.
-type AnswerInfo struct {
+// ResponseInfo is what a response says about its target.
+type ResponseInfo struct {
 	// Sealed is set if the response carries the target's signature.
 	Sealed bool
 	// NotRun is set if the target did not run the request and never will.
@@ -59,10 +59,10 @@
 type Wire interface {
 	Caller(h http.Header) CallerInfo
 	ToTarget(h http.Header, t TargetInfo)
-	FromTarget(status int, h http.Header) AnswerInfo
+	FromTarget(status int, h http.Header) ResponseInfo
 	// RemoveSeal removes the target's signature from a response that this VM has changed.
 	RemoveSeal(h http.Header)
 	SetRetryAfter(h http.Header, after time.Duration)
-	// Refusal sets the caller's request ID on an answer that this VM generated.
-	Refusal(h http.Header, id string)
+	// SetRequestID sets the caller's request ID on an answer that this VM generated.
+	SetRequestID(h http.Header, id string)
 }
--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -88,8 +88,8 @@
 // one VM observed it.
 type TargetLimit struct {
 	Target string
-	// Born is when the target started, in Unix milliseconds; 0 if unknown.
-	Born int64
+	// StartedAt is when the target started, in Unix milliseconds; 0 if unknown.
+	StartedAt int64
 	// Limited is false if the target no longer announces a limit.
 	Limited bool
 	// Rate is in requests per second.
--- a/pkg/member/prober.go
+++ b/pkg/member/prober.go
@@ -235,7 +235,7 @@
 	}
 	for _, l := range p.Limits {
 		info.Limits = append(info.Limits, &peerpb.TargetLimit{
-			Target: l.Target, Born: l.Born, Named: l.Limited, Rate: l.Rate, AgeUs: time.Since(l.Latest).Microseconds(),
+			Target: l.Target, Born: l.StartedAt, Named: l.Limited, Rate: l.Rate, AgeUs: time.Since(l.Latest).Microseconds(),
 		})
 	}
 	for _, c := range p.Suspects {
@@ -270,7 +270,7 @@
 	for _, l := range i.GetLimits() {
 		age := time.Duration(l.GetAgeUs()) * time.Microsecond
 		p.Limits = append(p.Limits, TargetLimit{
-			Target: l.GetTarget(), Born: l.GetBorn(), Limited: l.GetNamed(), Rate: l.GetRate(),
+			Target: l.GetTarget(), StartedAt: l.GetBorn(), Limited: l.GetNamed(), Rate: l.GetRate(),
 			Earliest: sent.Add(-age), Latest: received.Add(-age),
 		})
 	}
--- a/pkg/target/backoff_test.go
+++ b/pkg/target/backoff_test.go
@@ -10,7 +10,7 @@
 func TestLeavingStateOutlivesListUpdates(t *testing.T) {
 	now := time.Now()
 	r := NewRegistry(map[string]string{"fd": "east"}, now)
-	e := Entry{Target: Target{ID: "i", Address: "127.0.0.1:1", FailureDomain: "fd", Slots: 9}, Pool: "s", Born: 1}
+	e := Entry{Target: Target{ID: "i", Address: "127.0.0.1:1", FailureDomain: "fd", Slots: 9}, Pool: "s", StartedAt: 1}
 	l, _ := r.Upsert(e, true, now)
 	r.Publish(1)
 	if !l.SetLeaving() || l.SetLeaving() || r.Publish(1).Admits(l, now) {
@@ -33,7 +33,7 @@
 	if total, _ := UsableSlots([]*Live{l}, now); total != 0 {
 		t.Errorf("the leaving target has %v usable slots, want 0", total)
 	}
-	e.Born = 2
+	e.StartedAt = 2
 	if l, _ = r.Upsert(e, false, now); l.Leaving() {
 		t.Error("the leaving state carries over to the next incarnation")
 	}
--- a/pkg/target/limit.go
+++ b/pkg/target/limit.go
@@ -46,9 +46,9 @@
 	return l.updateLimit(Limit{}, sentAt, now)
 }
 
-// RecordUnreadableLimit records a response whose limit is invalid. It reports whether that is the
+// RecordInvalidLimit records a response whose limit is invalid. It reports whether that is the
 // first one.
-func (l *Live) RecordUnreadableLimit() bool { return !l.invalidLimit.Swap(true) }
+func (l *Live) RecordInvalidLimit() bool { return !l.invalidLimit.Swap(true) }
 
 // updateLimit records the limit of a response. The target had this limit at some moment between at
 // and now.
--- a/pkg/target/live.go
+++ b/pkg/target/live.go
@@ -19,8 +19,8 @@
 type Live struct {
 	Target
 	Pool string
-	// Born is the start time of the process in Unix milliseconds; 0 if unknown.
-	Born int64
+	// StartedAt is the start time of the process in Unix milliseconds; 0 if unknown.
+	StartedAt int64
 	// Hash is a hash of the ID, for rendezvous hashing.
 	Hash uint64
 
@@ -140,7 +140,7 @@
 
 // Incarnation returns a name for this incarnation of the target, made of its ID and
 // start time.
-func (l *Live) Incarnation() string { return l.ID + "@" + strconv.FormatInt(l.Born, 36) }
+func (l *Live) Incarnation() string { return l.ID + "@" + strconv.FormatInt(l.StartedAt, 36) }
 
 // SetExited records that the target's process has exited, which makes the target suspect. It reports
 // whether that was unknown before.
--- a/pkg/target/registry.go
+++ b/pkg/target/registry.go
@@ -40,8 +40,8 @@
 	Pool string
 	// Draining targets accept no new requests.
 	Draining bool
-	// Born is the start time of the target in Unix milliseconds; 0 if unknown.
-	Born int64
+	// StartedAt is the start time of the target in Unix milliseconds; 0 if unknown.
+	StartedAt int64
 	// ColdFor is how much longer the target is slow, as of the writing of the entry.
 	ColdFor time.Duration
 }
@@ -133,13 +133,13 @@
 	previous := r.records[e.ID]
 	rec = &record{}
 	r.records[e.ID] = rec
-	if t, ok := r.tombstones[e.ID]; ok && t.live.matches(&e) && e.Born != 0 {
+	if t, ok := r.tombstones[e.ID]; ok && t.live.matches(&e) && e.StartedAt != 0 {
 		delete(r.tombstones, e.ID)
 		rec.live = t.live
 		return rec, false
 	}
 	rec.live = r.newLive(e)
-	if previous != nil && previous.live.Born == e.Born {
+	if previous != nil && previous.live.StartedAt == e.StartedAt {
 		rec.live.copyAnnouncements(previous.live)
 	}
 	return rec, true
@@ -155,13 +155,13 @@
 
 // matches reports whether the entry describes this incarnation.
 func (l *Live) matches(e *Entry) bool {
-	return l.Born == e.Born && l.Address == e.Address && l.Pool == e.Pool && l.FailureDomain == e.FailureDomain && l.Slots == e.Slots
+	return l.StartedAt == e.StartedAt && l.Address == e.Address && l.Pool == e.Pool && l.FailureDomain == e.FailureDomain && l.Slots == e.Slots
 }
 
 func (r *Registry) newLive(e Entry) *Live {
 	t := e.Target
 	t.Region = r.regions[e.FailureDomain]
-	return &Live{Target: t, Pool: e.Pool, Born: e.Born, Hash: xxhash.Sum64String(e.ID), processStart: instant(r.processStart)}
+	return &Live{Target: t, Pool: e.Pool, StartedAt: e.StartedAt, Hash: xxhash.Sum64String(e.ID), processStart: instant(r.processStart)}
 }
 
 // Removal tells what happened to targets whose entries disappeared from the list.
@@ -340,7 +340,7 @@
 func (r *Registry) Find(id string, startedAt int64) *Live {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if rec := r.records[id]; rec != nil && rec.live.Born == startedAt {
+	if rec := r.records[id]; rec != nil && rec.live.StartedAt == startedAt {
 		return rec.live
 	}
 	return nil
--- a/pkg/target/registry_test.go
+++ b/pkg/target/registry_test.go
@@ -20,7 +20,7 @@
 const drainTime = 2 * time.Second
 
 func entry(n int, domain string) Entry {
-	return Entry{Target: Target{ID: fmt.Sprint("t", n), Address: fmt.Sprintf("10.0.0.%d:80", n), FailureDomain: domain, Slots: 9}, Pool: "s", Born: 1}
+	return Entry{Target: Target{ID: fmt.Sprint("t", n), Address: fmt.Sprintf("10.0.0.%d:80", n), FailureDomain: domain, Slots: 9}, Pool: "s", StartedAt: 1}
 }
 
 // newTestRegistry returns a registry with n targets in fd-a.
@@ -135,7 +135,7 @@
 	old := r.Snapshot().Pools["s"]["east"][0]
 	old.RecordFailure(true)
 	restarted := entry(0, "fd-a")
-	restarted.Born = 2
+	restarted.StartedAt = 2
 	l, isNew := r.Upsert(restarted, false, t0)
 	if !isNew || l == old || l.Suspect() || !l.Cold(t0.Add(2*time.Second)) {
 		t.Error("a restarted target must be a new, cold incarnation that is not suspect")
