--- a/pkg/config/config.go
+++ b/pkg/config/config.go
@@ -95,9 +95,9 @@
 	Rank int `json:"rank,omitempty"`
 	// Regions are the regions in which requests may run; empty means all.
 	Regions []string `json:"regions,omitempty"`
-	// Bulky reports that responses are large; requests then stay in the caller's
+	// LargeResponses reports that responses are large; requests then stay in the caller's
 	// region if possible.
-	Bulky bool `json:"bulky,omitempty"`
+	LargeResponses bool `json:"bulky,omitempty"`
 	// Sticky reports that a target handles a request faster if it recently
 	// handled one for the same object.
 	Sticky bool `json:"sticky,omitempty"`
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -162,7 +162,7 @@
 	})
 	d.feed = feed.New(feed.Config{
 		Table: d.table, Objects: platform.NewObjects(store), Loop: d.loop, Clock: clock.System{}, Members: d.members,
-		Self: d.self, Peers: d.dialer, Log: d.log, Metrics: d.registry,
+		Self: d.self, PeerDialer: d.dialer, Log: d.log, Metrics: d.registry,
 		MaxAge: s.Feed.FreshFor.Duration, PollInterval: s.Feed.Poll.Duration,
 		RelayLease: s.Feed.RelayLease.Duration,
 	})
--- a/pkg/feed/fake_fleet_test.go
+++ b/pkg/feed/fake_fleet_test.go
@@ -148,7 +148,7 @@
 	cfg.Self = v.peer
 	cfg.Members = fleetView{f, v}
 	v.Feed = newFeed(f.t, cfg)
-	v.cfg.Peers.HTTPClient().Transport = partitionTransport{v, v.cfg.Peers.HTTPClient().Transport}
+	v.cfg.PeerDialer.HTTPClient().Transport = partitionTransport{v, v.cfg.PeerDialer.HTTPClient().Transport}
 	prefix, h := v.Handler()
 	mux.Handle(prefix, h)
 	f.mu.Lock()
--- a/pkg/feed/fake_test.go
+++ b/pkg/feed/fake_test.go
@@ -227,11 +227,11 @@
 	if cfg.Members == nil {
 		cfg.Members = noPeers{}
 	}
-	cfg.Peers = peer.NewDialer(nil)
+	cfg.PeerDialer = peer.NewDialer(nil)
 	cfg.Log = zerolog.Nop()
 	ended := make(chan struct{})
 	go func() { cfg.Loop.Run(ctx); close(ended) }()
-	t.Cleanup(func() { cancel(); <-ended; cfg.Peers.Close() })
+	t.Cleanup(func() { cancel(); <-ended; cfg.PeerDialer.Close() })
 	return New(cfg)
 }
 
--- a/pkg/feed/fault_test.go
+++ b/pkg/feed/fault_test.go
@@ -98,7 +98,7 @@
 	go func() { loop.Run(ctx); close(end) }()
 	return New(Config{
 		Table: s, Objects: objectStore{s}, Loop: loop, Clock: clock.System{},
-		Members: noPeers{}, Peers: peer.NewDialer(nil), Log: zerolog.Nop(),
+		Members: noPeers{}, PeerDialer: peer.NewDialer(nil), Log: zerolog.Nop(),
 	}), end
 }
 
--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -61,12 +61,12 @@
 	Table   storage.Table
 	Objects storage.Objects
 	// Loop owns the feed's state.
-	Loop    *control.Loop
-	Clock   clock.Clock
-	Members member.Source
-	Self    member.Peer
-	Peers   *peer.Dialer
-	Log     zerolog.Logger
+	Loop       *control.Loop
+	Clock      clock.Clock
+	Members    member.Source
+	Self       member.Peer
+	PeerDialer *peer.Dialer
+	Log        zerolog.Logger
 	// Metrics receives the feed's metrics; nil drops them.
 	Metrics metrics.Registry
 
--- a/pkg/feed/follow.go
+++ b/pkg/feed/follow.go
@@ -147,7 +147,7 @@
 func (f *Feed) pull(ctx context.Context, address string, wait time.Duration) (pullResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+f.cfg.PeerTimeout)
 	defer cancel()
-	client := peerpb.NewConfigProtobufClient(f.cfg.Peers.BaseURL(address), f.cfg.Peers.HTTPClient())
+	client := peerpb.NewConfigProtobufClient(f.cfg.PeerDialer.BaseURL(address), f.cfg.PeerDialer.HTTPClient())
 	start := f.cfg.Clock.Now()
 	resp, err := client.Pull(ctx, &peerpb.PullRequest{
 		Have:   f.state.Load().version(),
--- a/pkg/feed/server.go
+++ b/pkg/feed/server.go
@@ -188,7 +188,7 @@
 func (f *Feed) pushOne(ctx context.Context, address string, changes [][]byte, forward bool) (*peerpb.PushResponse, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.cfg.PeerTimeout)
 	defer cancel()
-	client := peerpb.NewConfigProtobufClient(f.cfg.Peers.BaseURL(address), f.cfg.Peers.HTTPClient())
+	client := peerpb.NewConfigProtobufClient(f.cfg.PeerDialer.BaseURL(address), f.cfg.PeerDialer.HTTPClient())
 	f.meters.pushes.Inc(1)
 	resp, err := client.Push(ctx, &peerpb.PushRequest{
 		Changes:       changes,
--- a/pkg/ingress/choose.go
+++ b/pkg/ingress/choose.go
@@ -27,7 +27,7 @@
 	regions := placement.ChooseRegions(c.objectHash(), shares, func(region string) bool {
 		return c.allowsRegion(region) && slices.ContainsFunc(pool[region], func(l *target.Live) bool { return c.canUse(l, now) })
 	})
-	if c.route.Bulky {
+	if c.route.LargeResponses {
 		regions = placement.HomeFirst(regions, c.s.cfg.Region, shares)
 	}
 	for i, region := range regions {
