--- a/pkg/daemon/run.go
+++ b/pkg/daemon/run.go
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Stop.Grace.Duration)
 	defer cancel()
 	if err := d.entry.Shutdown(ctx); err != nil {
-		d.log.Warn().Err(err).Msg("requests were still in flight at the end of stop.grace")
+		d.log.Warn().Err(err).Msg("requests were still in flight, or their results not yet recorded, at the end of stop.grace")
 	}
 	// The last responses are delivered under their own timeout, since ctx may
 	// have ended.
@@ -126,7 +126,7 @@
 	defer cancel()
 	d.limiter.Release(ctx)
 	if err := d.leases.Release(ctx); err != nil {
-		d.log.Warn().Err(err).Msg("failed to release slots; peers take them over once the peer port refuses connections")
+		d.log.Warn().Err(err).Msg("could not confirm that all slots are released; peers take over the others once the peer port refuses connections")
 	}
 }
 
--- a/pkg/dispatch/poll.go
+++ b/pkg/dispatch/poll.go
@@ -29,7 +29,7 @@
 }
 
 // errNoReport is returned for a target without a load endpoint.
-var errNoReport = errors.New("target has no load endpoint")
+var errNoReport = errors.New("target returned no load report")
 
 // startPolling starts a goroutine for each target of this region that polls its load and
 // health. The first polls are spread over the interval.
--- a/pkg/edge/follow.go
+++ b/pkg/edge/follow.go
@@ -121,7 +121,7 @@
 	}
 	old := d.state.Load()
 	if old != nil && next.Version <= old.Version {
-		d.log.Warn().Int64("config", next.Version).Int64("in_force", old.Version).Msg("ignoring an older configuration")
+		d.log.Warn().Int64("config", next.Version).Int64("in_force", old.Version).Msg("ignoring a configuration that is not newer than the one in force")
 		return false
 	}
 	d.targets.SetServices(next.Services)
@@ -222,7 +222,7 @@
 		return
 	}
 	d.log.Warn().Int("targets", len(r.Held)).Bool("store_was_away", afterOutage).Dur("for_ms", r.HeldUntil.Sub(now)).
-		Msg("several targets disappeared from the list at once; keeping them in use for now")
+		Msg("targets disappeared from the list in large numbers or soon after a store outage; keeping them in use for now")
 	time.AfterFunc(time.Until(r.HeldUntil), func() {
 		if ctx.Err() != nil {
 			return
@@ -285,7 +285,7 @@
 	vms, err := d.fleet.VMs(ctx)
 	settled := err == nil && d.awaitSettled(ctx, vms)
 	d.fleet.endLoanWait(settled, d.clock.Now())
-	d.log.Info().Bool("settled", settled).Int("vms", len(vms)).Dur("after_ms", time.Since(started)).Msg("now using this VM's whole share of the limits")
+	d.log.Info().Bool("settled", settled).Int("vms", len(vms)).Dur("after_ms", time.Since(started)).Msg("the wait for loans of an earlier process of this VM has ended")
 }
 
 // awaitSettled waits for all limiters concurrently. It reports whether the loans of earlier
--- a/pkg/edge/probe.go
+++ b/pkg/edge/probe.go
@@ -81,6 +81,6 @@
 		d.log.Info().Str("target", l.ID).Str("now", info.InstanceID).Msg("another target now uses the address")
 	case resp.StatusCode == http.StatusOK || full:
 		l.ClearSuspicion(info.ColdFor, time.Now())
-		d.log.Info().Str("target", l.ID).Dur("cold_for_ms", info.ColdFor).Msg("target is healthy again")
+		d.log.Info().Str("target", l.ID).Dur("cold_for_ms", info.ColdFor).Msg("target is no longer suspect")
 	}
 }
--- a/pkg/edge/reload.go
+++ b/pkg/edge/reload.go
@@ -32,7 +32,7 @@
 	next, err := settings.LoadEdge(d.path)
 	if err != nil {
 		if err.Error() != problem {
-			d.log.Error().Err(err).Msg("invalid settings file; keeping the previous settings")
+			d.log.Error().Err(err).Msg("failed to load the settings file; keeping the previous settings")
 		}
 		return err.Error()
 	}
--- a/pkg/edge/stop.go
+++ b/pkg/edge/stop.go
@@ -56,8 +56,8 @@
 	d.releaseLimits(running)
 	d.awaitQuiet(running)
 	if n := d.ingress.Running(); n > 0 {
-		d.log.Warn().Int("running", n).Msg("requests still run near the end of the grace period; aborting them with a final response")
-		d.ingress.LogRunning("request aborted near the end of the grace period")
+		d.log.Warn().Int("running", n).Msg("requests are still in flight near the end of the grace period; sending a final response to those that are not being answered yet")
+		d.ingress.LogRunning("request still in flight near the end of the grace period")
 		d.ingress.Abandon()
 	}
 	delivery, cancelDelivery := context.WithDeadline(context.Background(), after(exitAfter))
@@ -137,6 +137,6 @@
 	left := d.fleet.self
 	left.Left = true
 	if _, err := d.store.Transact(ctx, platform.Transaction{Writes: []platform.Row{left.row()}}); err != nil {
-		d.log.Warn().Err(err).Msg("failed to mark this VM as left; its share of the limits stays unused until it returns")
+		d.log.Warn().Err(err).Msg("failed to mark this VM as left; its share of the limits may stay unused until it returns")
 	}
 }
--- a/pkg/edge/suspects.go
+++ b/pkg/edge/suspects.go
@@ -148,7 +148,7 @@
 	err := proto.Unmarshal(row.Value, &encoded)
 	c, decodeErr := codec.Decode(&encoded)
 	if err != nil || decodeErr != nil || suspectKey(c.Fingerprint) != row.Key {
-		s.log.Warn().Err(errors.Join(err, decodeErr)).Str("row", row.Key).Msg("ignoring an invalid row of a suspect")
+		s.log.Warn().Err(errors.Join(err, decodeErr)).Str("row", row.Key).Msg("ignoring an invalid row of a suspect request")
 		return
 	}
 	next := &suspectRow{Case: c, version: row.Version, readAt: s.clock.Now()}
@@ -294,7 +294,7 @@
 	for {
 		for _, c := range s.missingRows() {
 			if err := s.writeRow(ctx, c.Case, c.version); err != nil {
-				s.log.Warn().Err(err).Str("fingerprint", c.String()).Msg("failed to write a suspect's row")
+				s.log.Warn().Err(err).Str("fingerprint", c.String()).Msg("failed to write the row of a suspect request")
 			}
 		}
 		s.removeRows(ctx)
@@ -371,7 +371,7 @@
 		return
 	}
 	if _, err := s.store.Transact(ctx, t); err != nil {
-		s.log.Warn().Err(err).Int("rows", len(t.Remove)).Msg("failed to remove rows of suspects")
+		s.log.Warn().Err(err).Int("rows", len(t.Remove)).Msg("failed to remove the rows of suspect requests")
 		return
 	}
 	s.mu.Lock()
--- a/pkg/ingress/run.go
+++ b/pkg/ingress/run.go
@@ -284,7 +284,7 @@
 	case !info.authentic(l, status):
 	case info.LimitInvalid:
 		if l.RecordInvalidLimit() {
-			c.s.cfg.Log.Warn().Str("request", c.info.ID).Str("target", l.ID).Msg("target set an invalid limit; its previous limit stays in force")
+			c.s.cfg.Log.Warn().Str("request", c.info.ID).Str("target", l.ID).Msg("ignoring an invalid limit that the target set; its last known limit, if any, stays in force")
 		}
 	case info.Limit.Limited:
 		changed = l.RecordLimit(info.Limit.Rate, now)
