--- a/pkg/block/block.go
+++ b/pkg/block/block.go
@@ -76,7 +76,7 @@
 		prefix := b.Prefix.Masked()
 		switch {
 		case !prefix.IsValid():
-			return nil, fmt.Errorf("%w: region %q has no prefix", ErrInvalid, b.Region)
+			return nil, fmt.Errorf("%w: site %q has no prefix", ErrInvalid, b.Region)
 		case prefix.Addr().Is4():
 			start := v4Key(prefix.Addr())
 			v4 = append(v4, span[uint32]{start, start | uint32(1<<(32-prefix.Bits())-1), region})
--- a/pkg/dispatch/poll.go
+++ b/pkg/dispatch/poll.go
@@ -28,7 +28,8 @@
 	return &http.Client{Timeout: pollTimeout, Transport: &http.Transport{DisableKeepAlives: true, MaxConnsPerHost: 1}}
 }
 
-// errNoReport is returned for a target without a load endpoint.
+// errNoReport is returned if the load endpoint responds with a status other than 200 and
+// the health endpoint does not show the target as unhealthy.
 var errNoReport = errors.New("target returned no load report")
 
 // startPolling starts a goroutine for each target of this region that polls its load and
